--- a/crates/daemon/src/admission.rs
+++ b/crates/daemon/src/admission.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use streamfold_model::CallerName;
-use streamfold_policy::{Admission, AdmissionAsk, AdmissionRefusal, Moment, WorkReport};
+use streamfold_policy::{Admission, AdmissionRefusal, AdmissionRequest, Moment, WorkReport};
 use tokio::sync::oneshot;
 
 use crate::caller_error::CallerError;
@@ -25,7 +25,7 @@
         let now = self.node.clock.now();
         let started = {
             let mut gate = self.node.gate();
-            let started = gate.leave(now, &self.caller, now.since(self.started), self.work);
+            let started = gate.finish(now, &self.caller, now.since(self.started), self.work);
             stats::set_admission_limit(gate.limit());
             started
         };
@@ -58,10 +58,10 @@
 pub async fn let_in(node: &Arc<Node>, visit: &CallerVisit, deadline: Moment) -> Result<AdmittedVisit, CallerError> {
     let caller = &visit.caller.name;
     let (rate, concurrency) = (visit.caller.rate, visit.caller.concurrency);
-    let ask = AdmissionAsk { caller: caller.clone(), rate, concurrency, deadline };
+    let ask = AdmissionRequest { caller: caller.clone(), rate, concurrency, deadline };
     let (tag, place) = oneshot::channel();
     let now = node.clock.now();
-    let admission = node.gate().ask(now, &ask, tag);
+    let admission = node.gate().admit(now, &ask, tag);
     let number = match admission {
         Admission::Started => {
             return Ok(AdmittedVisit {
--- a/crates/daemon/src/metered.rs
+++ b/crates/daemon/src/metered.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use streamfold_policy::{Moment, RateGate};
+use streamfold_policy::{Moment, TokenBucket};
 use streamfold_store::store::StoreFuture;
 use streamfold_store::{EntityTag, ObjectStore, PutCondition, StoreError, StoredObject};
 
@@ -20,7 +20,7 @@
 pub struct MeteredStore {
     inner: Arc<dyn ObjectStore>,
     clock: NodeClock,
-    gate: Mutex<RateGate>,
+    gate: Mutex<TokenBucket>,
 }
 
 impl MeteredStore {
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -10,8 +10,8 @@
 use streamfold_model::{CallerName, ConfigBundle, ConfigVersion, Incarnation};
 use streamfold_platform::PlatformClient;
 use streamfold_policy::{
-    AdaptiveRules, AdmissionGate, AttemptRules, BaselineRules, LatencyTrack, MemberEntry, MemberState, MemberTable,
-    MemberTimes, RateGate, TokenBudget,
+    AdaptiveRules, AdmissionControl, AttemptRules, BaselineRules, LatencyTrack, MemberEntry, MemberState, MemberTable,
+    MemberTimes, TokenBucket, TokenBudget,
 };
 use streamfold_store::{ConfigStore, ObjectStore, RequestClaims, VmList};
 use tokio::sync::{Notify, oneshot, watch};
@@ -74,8 +74,8 @@
     pub(crate) view: ArcSwap<ClusterView>,
     pub(crate) own_book: TicketBook,
     pub(crate) adopted: Mutex<Vec<Arc<TicketBook>>>,
-    gate: Mutex<AdmissionGate<AdmissionTag>>,
-    claim_gate: Mutex<RateGate>,
+    gate: Mutex<AdmissionControl<AdmissionTag>>,
+    claim_gate: Mutex<TokenBucket>,
     listed_seeds: Mutex<Vec<SocketAddr>>,
     owner_replies: Mutex<(LatencyTrack, TokenBudget)>,
     phase: watch::Sender<StopPhase>,
@@ -149,7 +149,7 @@
             view: ArcSwap::from_pointee(ClusterView::empty()),
             own_book,
             adopted: Mutex::default(),
-            gate: Mutex::new(AdmissionGate::new(settings.policy == PolicyChoice::Adaptive)),
+            gate: Mutex::new(AdmissionControl::new(settings.policy == PolicyChoice::Adaptive)),
             claim_gate: Mutex::default(),
             listed_seeds: Mutex::default(),
             owner_replies: Mutex::new((LatencyTrack::default(), TokenBudget::new(OWNER_HEDGE_RESERVE))),
@@ -209,7 +209,7 @@
     }
 
     /// The admission of callers' requests.
-    pub fn gate(&self) -> MutexGuard<'_, AdmissionGate<AdmissionTag>> {
+    pub fn gate(&self) -> MutexGuard<'_, AdmissionControl<AdmissionTag>> {
         self.gate.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/daemon/src/pool.rs
+++ b/crates/daemon/src/pool.rs
@@ -10,7 +10,7 @@
 use streamfold_model::server::write_shards;
 use streamfold_model::{AttemptId, AttemptOutcome, IndexName, MissingReason, ShardId, UpstreamSpec};
 use streamfold_policy::{
-    AttemptRules, CallReport, HeldVersions, Moment, QueueSubmission, ServerState, UpstreamQueue, WaitPlace, WorkItem,
+    AttemptRules, CallReport, HeldVersions, Moment, QueueSubmission, ServerState, UpstreamQueue, WaitId, WorkItem,
 };
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
@@ -293,7 +293,7 @@
 /// Takes waiting work out of the queue when nobody waits for it any more.
 struct WaitGuard<'a> {
     pool: &'a Arc<UpstreamPool>,
-    number: WaitPlace,
+    number: WaitId,
 }
 
 impl Drop for WaitGuard<'_> {
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -43,7 +43,7 @@
 
 /// A request that asks to be let in.
 #[derive(Debug, Clone)]
-pub struct AdmissionAsk {
+pub struct AdmissionRequest {
     /// Who asks.
     pub caller: CallerName,
     /// Its requests a second at this node.
@@ -78,12 +78,12 @@
 
 /// Tokens for a rate.
 #[derive(Debug, Clone, Default)]
-pub struct RateGate {
+pub struct TokenBucket {
     tokens: Option<f64>,
     filled: Moment,
 }
 
-impl RateGate {
+impl TokenBucket {
     /// Takes a token, or tells how long until there is one. `rate` is tokens a second.
     ///
     /// # Errors
@@ -104,20 +104,20 @@
 
 #[derive(Debug)]
 struct CallerLane<T> {
-    rate: RateGate,
+    rate: TokenBucket,
     running: u32,
     waiting: BTreeMap<(Moment, u64), T>,
 }
 
 impl<T> Default for CallerLane<T> {
     fn default() -> Self {
-        Self { rate: RateGate::default(), running: 0, waiting: BTreeMap::new() }
+        Self { rate: TokenBucket::default(), running: 0, waiting: BTreeMap::new() }
     }
 }
 
 /// The admission of one entry node.
 #[derive(Debug)]
-pub struct AdmissionGate<T> {
+pub struct AdmissionControl<T> {
     lanes: BTreeMap<CallerName, CallerLane<T>>,
     is_limited: bool,
     limit: f64,
@@ -133,7 +133,7 @@
     served: Duration,
 }
 
-impl<T> AdmissionGate<T> {
+impl<T> AdmissionControl<T> {
     /// A gate; without `is_limited` only callers' own rates and concurrencies count.
     pub fn new(is_limited: bool) -> Self {
         Self {
@@ -191,7 +191,7 @@
     }
 
     /// Asks to let a request in; `tag` is kept while it waits.
-    pub fn ask(&mut self, now: Moment, ask: &AdmissionAsk, tag: T) -> Admission<T> {
+    pub fn admit(&mut self, now: Moment, ask: &AdmissionRequest, tag: T) -> Admission<T> {
         let has_room = self.has_room() && self.waiting == 0;
         let lane = self.lanes.entry(ask.caller.clone()).or_default();
         if let Err(wait) = lane.rate.take(now, ask.rate) {
@@ -214,7 +214,7 @@
         self.queue(ask, tag, wait)
     }
 
-    fn queue(&mut self, ask: &AdmissionAsk, tag: T, wait: Duration) -> Admission<T> {
+    fn queue(&mut self, ask: &AdmissionRequest, tag: T, wait: Duration) -> Admission<T> {
         let displaced = if self.waiting >= self.limit() as usize {
             match self.displace(&ask.caller) {
                 Some(tag) => Some(tag),
@@ -256,7 +256,7 @@
     }
 
     /// Notes that an admitted request ended and returns the waiting ones that start now.
-    pub fn leave(
+    pub fn finish(
         &mut self,
         now: Moment,
         caller: &CallerName,
--- a/crates/policy/src/call_order.rs
+++ b/crates/policy/src/call_order.rs
@@ -9,7 +9,7 @@
 use streamfold_model::Priority;
 
 use crate::moment::Moment;
-use crate::team_turns::{TeamShare, TeamTurns};
+use crate::team_scheduler::{TeamScheduler, TeamShare};
 
 /// The kept share, as a part of the share that a priority would get if calls were made first come, first served: a
 /// little over a half, of which calls that leave the line take some.
@@ -69,7 +69,7 @@
     fn rank(&self, now: Moment, call: &WaitingCall) -> CallRank;
 
     /// Notes that a call was made, so that its team's next one has a later turn.
-    fn note_made(&mut self, now: Moment, call: &WaitingCall);
+    fn note_sent(&mut self, now: Moment, call: &WaitingCall);
 }
 
 /// First come, first served: what the others are measured against.
@@ -83,7 +83,7 @@
         CallRank { is_kept: true, priority: Priority(0), turn: 0, is_late: false, latest_start: call.joined }
     }
 
-    fn note_made(&mut self, _now: Moment, _call: &WaitingCall) {}
+    fn note_sent(&mut self, _now: Moment, _call: &WaitingCall) {}
 }
 
 /// Calls of one priority, or of all; they fade.
@@ -107,14 +107,14 @@
     by_priority: BTreeMap<Priority, FadingCount>,
     all: FadingCount,
     faded: Moment,
-    turns: Option<TeamTurns>,
+    turns: Option<TeamScheduler>,
 }
 
 impl PriorityOrder {
     /// With turns of teams.
     #[must_use]
-    pub fn with_turns(self) -> Self {
-        Self { turns: Some(TeamTurns::default()), ..self }
+    pub fn with_fair_queueing(self) -> Self {
+        Self { turns: Some(TeamScheduler::default()), ..self }
     }
 
     fn count(&mut self, now: Moment, priority: Priority, add: impl Fn(&mut FadingCount)) {
@@ -153,10 +153,10 @@
         }
     }
 
-    fn note_made(&mut self, now: Moment, call: &WaitingCall) {
+    fn note_sent(&mut self, now: Moment, call: &WaitingCall) {
         self.count(now, call.priority, |count| count.made += 1.0);
         if let Some(turns) = &mut self.turns {
-            turns.note_made(call.share());
+            turns.note_sent(call.share());
         }
     }
 }
--- a/crates/policy/src/domain_credit.rs
+++ b/crates/policy/src/domain_credit.rs
@@ -8,8 +8,8 @@
 use streamfold_model::ContentId;
 
 use crate::moment::Moment;
-use crate::turn_book::{PlaceCounts, PlaceOffer, TurnAsk, TurnBook};
-use crate::usage_credit::PoolLoan;
+use crate::reservation_table::{ReservationCounts, ReservationOffer, ReservationRequest, ReservationTable};
+use crate::usage_credit::PoolGrant;
 
 /// How long credit that was lent may be used. The pool earns as much again meanwhile, so it adds to what a window
 /// may see.
@@ -92,7 +92,7 @@
     loaned: Moment,
     /// When the pool has credit by its own word.
     pool_has: Option<Moment>,
-    places: TurnBook,
+    places: ReservationTable,
 }
 
 impl DomainCredit {
@@ -110,7 +110,7 @@
             lent_rate: 0.0,
             loaned: now,
             pool_has: None,
-            places: TurnBook::default(),
+            places: ReservationTable::default(),
         }
     }
 
@@ -149,9 +149,9 @@
     }
 
     /// Takes what the pool has lent; `None` where it could not be asked.
-    pub(crate) fn note_loan(&mut self, now: Moment, loan: Option<PoolLoan>) {
+    pub(crate) fn note_grant(&mut self, now: Moment, loan: Option<PoolGrant>) {
         self.pool_has = loan.map(|loan| now.plus(loan.wait));
-        let loan = loan.unwrap_or(PoolLoan { requests: 0, wait: MAX_POOL_WAIT });
+        let loan = loan.unwrap_or(PoolGrant { requests: 0, wait: MAX_POOL_WAIT });
         if loan.requests > 0 {
             self.note_lent(now, loan.requests);
             self.drop_lapsed(now);
@@ -168,7 +168,7 @@
     }
 
     /// What became of places since this was last called.
-    pub(crate) fn take_place_counts(&mut self) -> PlaceCounts {
+    pub(crate) fn take_reservation_counts(&mut self) -> ReservationCounts {
         self.places.take_counts()
     }
 
@@ -201,7 +201,7 @@
 
     /// Takes credit for a caller at its place, or beyond what is kept for places. What falls due while credit that is
     /// lent now would last counts as kept.
-    pub(crate) fn take_in_turn(&mut self, now: Moment, content: ContentId) -> bool {
+    pub(crate) fn take_reserved(&mut self, now: Moment, content: ContentId) -> bool {
         self.drop_lapsed(now);
         let (in_hand, kept) = (self.in_hand(), self.places.count_due(now, LENT_FOR));
         let is_free = in_hand > kept;
@@ -233,7 +233,7 @@
     }
 
     /// The next place of a caller that is refused.
-    pub(crate) fn offer_place(&mut self, now: Moment, own_rate: f64, ask: &TurnAsk) -> PlaceOffer {
+    pub(crate) fn offer_place(&mut self, now: Moment, own_rate: f64, ask: &ReservationRequest) -> ReservationOffer {
         // Somebody came for it, and it was in vain.
         self.places.miss_due(now, ask.content);
         let pool_rate = self.pool_rate(now);
--- a/crates/policy/src/entry_gate.rs
+++ b/crates/policy/src/entry_gate.rs
@@ -12,7 +12,7 @@
 
 /// What is known when a request arrives.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct EntryAsk {
+pub struct EntryRequest {
     /// Its rank.
     pub priority: Priority,
     /// Its target latency.
@@ -28,16 +28,16 @@
 
 /// What becomes of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EntryStep {
+pub enum EntryDecision {
     /// It is begun.
-    Begin,
+    Admit,
     /// It is refused, since it cannot be answered within the time it has left.
-    Hopeless {
+    CannotFinish {
         /// Until it could be.
         wait: Duration,
     },
     /// It is refused, since more urgent requests need the room.
-    GiveWay {
+    Yield {
         /// Until there may be room.
         wait: Duration,
     },
@@ -46,16 +46,16 @@
 /// Lets requests in or turns them away.
 pub trait EntryRule: Send {
     /// What becomes of a request that arrives now.
-    fn decide(&mut self, now: Moment, ask: &EntryAsk) -> EntryStep;
+    fn decide(&mut self, now: Moment, ask: &EntryRequest) -> EntryDecision;
 }
 
 /// Begins every request.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct OpenGate;
+pub struct AdmitAll;
 
-impl EntryRule for OpenGate {
-    fn decide(&mut self, _now: Moment, _ask: &EntryAsk) -> EntryStep {
-        EntryStep::Begin
+impl EntryRule for AdmitAll {
+    fn decide(&mut self, _now: Moment, _ask: &EntryRequest) -> EntryDecision {
+        EntryDecision::Admit
     }
 }
 
@@ -73,15 +73,15 @@
 }
 
 impl EntryRule for EntryGate {
-    fn decide(&mut self, now: Moment, ask: &EntryAsk) -> EntryStep {
+    fn decide(&mut self, now: Moment, ask: &EntryRequest) -> EntryDecision {
         self.level.note(now, ask.priority, ask.target, ask.waited);
         if let Some(expected) = ask.expected.filter(|expected| *expected > ask.left) {
             // Then it would be answered within its target.
-            return EntryStep::Hopeless { wait: expected.saturating_sub(ask.target) };
+            return EntryDecision::CannotFinish { wait: expected.saturating_sub(ask.target) };
         }
         if self.level.is_closed(ask.priority) {
-            return EntryStep::GiveWay { wait: self.level.time_to_open(now, ask.priority) };
+            return EntryDecision::Yield { wait: self.level.time_to_open(now, ask.priority) };
         }
-        EntryStep::Begin
+        EntryDecision::Admit
     }
 }
--- a/crates/policy/src/fold_rule.rs
+++ b/crates/policy/src/fold_rule.rs
@@ -34,7 +34,7 @@
     }
 
     /// The fewest shards that make an answer; more than there are if none do.
-    pub fn least_answers(&self) -> usize {
+    pub fn min_answers(&self) -> usize {
         (1..=self.shards).find(|count| self.is_enough(*count)).unwrap_or(self.shards + 1)
     }
 
--- a/crates/policy/src/late_alarm.rs
+++ b/crates/policy/src/late_timer.rs
@@ -15,12 +15,12 @@
 
 /// The alarms of one request.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct AlarmWatch {
+pub struct TimerWatch {
     /// Until when what came meanwhile is read.
     reads_until: Option<Moment>,
 }
 
-impl AlarmWatch {
+impl TimerWatch {
     /// When the request wakes for an alarm.
     pub fn wake_at(&self, alarm: Moment) -> Moment {
         self.reads_until.map_or(alarm, |until| until.max(alarm))
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -15,7 +15,7 @@
 use crate::retry::RetryBudget;
 use crate::rules::AttemptRules;
 use crate::server::{CallReport, ServerState};
-use crate::wait_line::{WaitLine, WaitPlace};
+use crate::wait_queue::{WaitId, WaitQueue};
 
 /// Hedges a quiet upstream may make at once.
 const HEDGE_RESERVE: f64 = 3.0;
@@ -43,7 +43,7 @@
     /// It starts now on this server.
     Started(usize, T),
     /// It waits in this place, to be given to [`UpstreamQueue::cancel`].
-    Waiting(WaitPlace),
+    Waiting(WaitId),
     /// No server holds the version any more.
     VersionGone(T),
     /// Every server is leaving.
@@ -69,7 +69,7 @@
     rules: Arc<dyn AttemptRules>,
     servers: Vec<ServerState>,
     /// The earliest deadline first.
-    waiting: WaitLine<Moment, QueuedWork<T>>,
+    waiting: WaitQueue<Moment, QueuedWork<T>>,
     track: LatencyTrack,
     hedging: Box<dyn HedgeRule>,
     hedges: TokenBudget,
@@ -84,7 +84,7 @@
         Self {
             rules,
             servers,
-            waiting: WaitLine::default(),
+            waiting: WaitQueue::default(),
             track: LatencyTrack::default(),
             hedging,
             hedges: TokenBudget::new(HEDGE_RESERVE),
@@ -164,7 +164,7 @@
             return QueueSubmission::Started(server, tag);
         }
         let deadline = item.deadline;
-        QueueSubmission::Waiting(self.waiting.join(deadline, deadline, QueuedWork { item, tag }))
+        QueueSubmission::Waiting(self.waiting.push(deadline, deadline, QueuedWork { item, tag }))
     }
 
     /// Starts a second attempt on another server than `first`, if the budget and a free
@@ -243,7 +243,7 @@
     pub fn start_waiting(&mut self, now: Moment, dice: &mut dyn RngCore) -> Vec<StartedWork<T>> {
         let mut started = Vec::new();
         let mut passed = Vec::new();
-        while let Some(work) = self.waiting.next(now) {
+        while let Some(work) = self.waiting.pop(now) {
             let Some(server) = self.pick(&work.item.item, now, dice) else {
                 passed.push(work);
                 if !self.servers.iter().any(ServerState::has_slot) {
@@ -254,12 +254,12 @@
             self.servers[server].start();
             started.push(StartedWork { server, tag: work.item.tag });
         }
-        passed.into_iter().for_each(|work| self.waiting.rejoin(work));
+        passed.into_iter().for_each(|work| self.waiting.requeue(work));
         started
     }
 
     /// Takes waiting work out again; false if it already started or expired.
-    pub fn cancel(&mut self, place: WaitPlace) -> bool {
-        self.waiting.leave(place).is_some()
+    pub fn cancel(&mut self, place: WaitId) -> bool {
+        self.waiting.remove(place).is_some()
     }
 }
--- a/crates/policy/src/caller_way.rs
+++ b/crates/policy/src/request_start.rs
@@ -14,7 +14,7 @@
 
 /// When a request began that was read at a moment; `accepted` is the moment at which its connection was accepted, if
 /// it is the first one on it, and `way` the time from the caller to the node.
-pub fn find_begin(read: Moment, accepted: Option<Moment>, way: Duration) -> Moment {
+pub fn find_request_start(read: Moment, accepted: Option<Moment>, way: Duration) -> Moment {
     let fresh = accepted.filter(|accepted| read.since(*accepted) < FIRST_WITHIN);
     fresh.map_or(read, |accepted| accepted.minus(way * 2))
 }
--- a/crates/policy/src/turn_book.rs
+++ b/crates/policy/src/reservation_table.rs
@@ -24,27 +24,27 @@
 
 /// How credit is asked for by a caller that returns at its place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TurnAsk {
+pub struct ReservationRequest {
     /// What it asks for.
     pub content: ContentId,
     /// How long it can wait to return.
-    pub usable: Duration,
+    pub max_wait: Duration,
     /// Whether the pool was asked already.
-    pub is_last: bool,
+    pub is_pool_asked: bool,
 }
 
 /// What a refused caller is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PlaceOffer {
+pub struct ReservationOffer {
     /// Until one request more has credit.
     pub wait: Duration,
     /// Whether that credit is kept for a caller that comes then.
-    pub is_given: bool,
+    pub is_reserved: bool,
 }
 
 /// What became of places since it was last asked.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct PlaceCounts {
+pub struct ReservationCounts {
     /// Handed out.
     pub given: u32,
     /// Taken by who came at the time.
@@ -67,12 +67,12 @@
 
 /// The places of one team at one giver of credit, in the order of their times.
 #[derive(Debug, Clone, Default)]
-pub struct TurnBook {
+pub struct ReservationTable {
     places: VecDeque<TurnPlace>,
-    counts: PlaceCounts,
+    counts: ReservationCounts,
 }
 
-impl TurnBook {
+impl ReservationTable {
     /// Gives up the places that nobody came for.
     pub fn release(&mut self, now: Moment) {
         while self.places.front().is_some_and(|place| place.at.plus(KEPT_FOR) < now) {
@@ -108,22 +108,22 @@
 
     /// The next place for a caller that can wait so long. `first` is when there is credit if nobody waits for it,
     /// `rate` how much comes in a second.
-    pub fn offer(&mut self, now: Moment, first: Duration, rate: f64, ask: &TurnAsk) -> PlaceOffer {
+    pub fn offer(&mut self, now: Moment, first: Duration, rate: f64, ask: &ReservationRequest) -> ReservationOffer {
         let step = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(LONGEST).min(LONGEST);
         let place = self.places.back().map_or(now.plus(first.min(LONGEST)), |last| now.max(last.at).plus(step));
         let wait = place.since(now).min(LONGEST);
-        let is_given = wait <= ask.usable && self.places.len() < MAX_PLACES;
-        if is_given {
+        let is_reserved = wait <= ask.max_wait && self.places.len() < MAX_PLACES;
+        if is_reserved {
             self.places.push_back(TurnPlace { at: place, content: ask.content });
             self.counts.given += 1;
         } else {
             self.counts.too_far += 1;
         }
-        PlaceOffer { wait, is_given }
+        ReservationOffer { wait, is_reserved }
     }
 
     /// What became of places since this was last called.
-    pub fn take_counts(&mut self) -> PlaceCounts {
+    pub fn take_counts(&mut self) -> ReservationCounts {
         std::mem::take(&mut self.counts)
     }
 }
--- a/crates/policy/src/team_turns.rs
+++ b/crates/policy/src/team_scheduler.rs
@@ -27,7 +27,7 @@
 
 /// The turns of teams that wait for one service.
 #[derive(Debug, Default)]
-pub struct TeamTurns {
+pub struct TeamScheduler {
     /// The turn of the call that was made last: nobody's next turn is before it, so that who asked for little while it
     /// was quiet has no claims later.
     present: u64,
@@ -39,14 +39,14 @@
     rated_calls: u32,
 }
 
-impl TeamTurns {
+impl TeamScheduler {
     /// The turn of a team's next call; the least goes first.
     pub fn turn(&self, share: &TeamShare) -> u64 {
         self.next.get(&share.team).copied().unwrap_or_default().max(self.present)
     }
 
     /// Notes that a team's call was made.
-    pub fn note_made(&mut self, share: &TeamShare) {
+    pub fn note_sent(&mut self, share: &TeamShare) {
         let turn = self.turn(share);
         self.present = turn;
         let rate = self.weigh(share).max(LEAST_RATE);
--- a/crates/policy/src/usage_credit.rs
+++ b/crates/policy/src/usage_credit.rs
@@ -18,7 +18,7 @@
 use crate::domain_credit::{CreditBucket, DomainCredit};
 use crate::moment::Moment;
 use crate::owner::choose_owners;
-use crate::turn_book::{PlaceCounts, PlaceOffer, TurnAsk};
+use crate::reservation_table::{ReservationCounts, ReservationOffer, ReservationRequest};
 
 /// The part of a rate that is divided among the failure domains. Teams send some 0.6 of their rate on usual days, so
 /// a pool that is away leaves most of that, and a pool that is there can nearly double what a failure domain has.
@@ -50,22 +50,22 @@
     /// Those of which it knows nodes that give credit.
     pub known: &'a [&'a str],
     /// How many the settings name.
-    pub named: usize,
+    pub configured: usize,
     /// Whether it has heard of all nodes since its start. One that has not may take its own failure domain for the
     /// only one, and after a start of all nodes each of them would give all of a team's credit.
-    pub are_all_heard: bool,
+    pub has_full_listing: bool,
 }
 
 impl CreditDomains<'_> {
     /// Among how many credit is divided.
     pub fn count(&self) -> usize {
-        self.known.len().max(self.named)
+        self.known.len().max(self.configured)
     }
 
     /// The one that has the pool of a team, if that can be told.
     pub fn find_pool(&self, team: &TeamName) -> Option<&str> {
         let chosen = choose_owners(self.known.iter().copied(), team.as_str(), 1);
-        chosen.first().copied().filter(|_| self.are_all_heard)
+        chosen.first().copied().filter(|_| self.has_full_listing)
     }
 }
 
@@ -104,12 +104,12 @@
     /// There is none; so long until there may be some.
     Refused(Duration),
     /// There is none; a caller that can wait comes back at its place.
-    Place(PlaceOffer),
+    Reservation(ReservationOffer),
 }
 
 /// What the pool gives.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct PoolLoan {
+pub struct PoolGrant {
     /// Requests that may run.
     pub requests: u32,
     /// How long until there is more.
@@ -127,20 +127,20 @@
 impl DomainCredits {
     /// The nodes that give credit have changed. Teams that this node gave credit of, and still does, keep what they
     /// have; any other one begins with nothing, since what it may use in a window another node may have given.
-    pub fn change_lenders(&mut self, now: Moment, keeps: impl Fn(&TeamName) -> bool) {
+    pub fn change_granters(&mut self, now: Moment, keeps: impl Fn(&TeamName) -> bool) {
         self.since = now;
         self.teams.retain(|team, _| keeps(team));
     }
 
     /// This node is asked in place of the one that gives the team's credit, which may be there again at any time: it
     /// has what it earns while it is asked, and saves nothing from one time to the next.
-    pub fn stand_in(&mut self, now: Moment, team: &TeamName) {
+    pub fn note_failover(&mut self, now: Moment, team: &TeamName) {
         if self.teams.get(team).is_none_or(|credit| credit.is_idle(now, STAND_IN_GAP)) {
             self.teams.insert(team.clone(), DomainCredit::new(now, now, 0.0));
         }
     }
 
-    /// Asks for one request of a team; `is_last` tells that the pool was asked already. Moments count from the start
+    /// Asks for one request of a team; `is_pool_asked` tells that the pool was asked already. Moments count from the start
     /// of the node.
     pub fn take(
         &mut self,
@@ -148,49 +148,49 @@
         team: &TeamName,
         limit: UsageLimit,
         allowance: UsageAllowance,
-        is_last: bool,
+        is_pool_asked: bool,
     ) -> CreditAnswer {
         let rate = allowance.rate(limit) * allowance.domain_part();
         let credit = self.fill(now, team, rate, allowance);
-        if !is_last {
+        if !is_pool_asked {
             credit.note_demand(now);
         }
         if credit.take(now) {
             return CreditAnswer::Granted;
         }
-        if !is_last && credit.may_ask_pool(now) {
+        if !is_pool_asked && credit.may_ask_pool(now) {
             return CreditAnswer::AskPool(credit.wanted(now));
         }
         CreditAnswer::Refused(credit.wait(now, rate))
     }
 
     /// Asks for one request of a team whose refused callers return in turn.
-    pub fn take_in_turn(
+    pub fn take_reserved(
         &mut self,
         now: Moment,
         team: &TeamName,
         limit: UsageLimit,
         allowance: UsageAllowance,
-        ask: &TurnAsk,
+        ask: &ReservationRequest,
     ) -> CreditAnswer {
         let rate = allowance.rate(limit) * allowance.domain_part();
         let credit = self.fill(now, team, rate, allowance);
         credit.release_places(now);
-        if !ask.is_last {
+        if !ask.is_pool_asked {
             credit.note_demand(now);
         }
-        if credit.take_in_turn(now, ask.content) {
+        if credit.take_reserved(now, ask.content) {
             return CreditAnswer::Granted;
         }
-        if !ask.is_last && credit.may_ask_pool(now) {
+        if !ask.is_pool_asked && credit.may_ask_pool(now) {
             return CreditAnswer::AskPool(credit.wanted(now));
         }
-        CreditAnswer::Place(credit.offer_place(now, rate, ask))
+        CreditAnswer::Reservation(credit.offer_place(now, rate, ask))
     }
 
     /// What became of a team's places since this was last called.
-    pub fn take_place_counts(&mut self, team: &TeamName) -> PlaceCounts {
-        self.teams.get_mut(team).map(DomainCredit::take_place_counts).unwrap_or_default()
+    pub fn take_reservation_counts(&mut self, team: &TeamName) -> ReservationCounts {
+        self.teams.get_mut(team).map(DomainCredit::take_reservation_counts).unwrap_or_default()
     }
 
     /// A team's credit, with what it has earned by now.
@@ -202,9 +202,9 @@
     }
 
     /// Takes what the pool has lent; `None` where it could not be asked.
-    pub fn note_loan(&mut self, now: Moment, team: &TeamName, loan: Option<PoolLoan>) {
+    pub fn note_grant(&mut self, now: Moment, team: &TeamName, loan: Option<PoolGrant>) {
         let Some(credit) = self.teams.get_mut(team) else { return };
-        credit.note_loan(now, loan);
+        credit.note_grant(now, loan);
     }
 
     /// Takes back the credit of a request that reached no server.
@@ -224,28 +224,28 @@
 }
 
 impl CreditPools {
-    /// The nodes that give credit have changed; as [`DomainCredits::change_lenders`].
-    pub fn change_lenders(&mut self, now: Moment, keeps: impl Fn(&TeamName) -> bool) {
+    /// The nodes that give credit have changed; as [`DomainCredits::change_granters`].
+    pub fn change_granters(&mut self, now: Moment, keeps: impl Fn(&TeamName) -> bool) {
         self.since = now;
         self.teams.retain(|team, _| keeps(team));
     }
 
-    /// This node is asked in place of the one that lends; as [`DomainCredits::stand_in`].
-    pub fn stand_in(&mut self, now: Moment, team: &TeamName) {
+    /// This node is asked in place of the one that lends; as [`DomainCredits::note_failover`].
+    pub fn note_failover(&mut self, now: Moment, team: &TeamName) {
         if self.teams.get(team).is_none_or(|bucket| bucket.is_idle(now, STAND_IN_GAP)) {
             self.teams.insert(team.clone(), CreditBucket::new(now, 0.0));
         }
     }
 
     /// Lends at most so many requests of a team; moments count from the start of the node.
-    pub fn lend(
+    pub fn grant(
         &mut self,
         now: Moment,
         team: &TeamName,
         limit: UsageLimit,
         allowance: UsageAllowance,
         wanted: u32,
-    ) -> PoolLoan {
+    ) -> PoolGrant {
         let rate = allowance.rate(limit) * allowance.pool_part();
         let most = (allowance.requests * POOL_SHARE).max(1.0);
         // What was lent before this node's start, or by another node before the lenders changed, is past after a window.
@@ -254,6 +254,6 @@
         let bucket = self.teams.entry(team.clone()).or_insert_with(make);
         bucket.fill(now, rate, most);
         let requests = bucket.take_some(wanted);
-        PoolLoan { requests, wait: bucket.wait(rate) }
+        PoolGrant { requests, wait: bucket.wait(rate) }
     }
 }
--- a/crates/policy/src/wait_line.rs
+++ b/crates/policy/src/wait_queue.rs
@@ -9,13 +9,13 @@
 
 /// A place in a line, never given twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct WaitPlace(u64);
+pub struct WaitId(u64);
 
 /// Work that waits, or has just been taken out of the line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WaitingWork<K, T> {
-    /// Its place, which it gets back by [`WaitLine::rejoin`].
-    pub place: WaitPlace,
+    /// Its place, which it gets back by [`WaitQueue::requeue`].
+    pub id: WaitId,
     /// What orders it.
     pub key: K,
     /// When it is worth nothing any more.
@@ -26,19 +26,19 @@
 
 /// Waiting work in order of its keys; among equal ones who came first goes first.
 #[derive(Debug, Clone)]
-pub struct WaitLine<K, T> {
-    works: BTreeMap<(K, WaitPlace), WaitingWork<K, T>>,
-    keys: HashMap<WaitPlace, K>,
+pub struct WaitQueue<K, T> {
+    works: BTreeMap<(K, WaitId), WaitingWork<K, T>>,
+    keys: HashMap<WaitId, K>,
     joined: u64,
 }
 
-impl<K: Copy + Ord, T> Default for WaitLine<K, T> {
+impl<K: Copy + Ord, T> Default for WaitQueue<K, T> {
     fn default() -> Self {
         Self { works: BTreeMap::new(), keys: HashMap::new(), joined: 0 }
     }
 }
 
-impl<K: Copy + Ord, T> WaitLine<K, T> {
+impl<K: Copy + Ord, T> WaitQueue<K, T> {
     /// Pieces of work that wait.
     pub fn len(&self) -> usize {
         self.works.len()
@@ -55,36 +55,36 @@
     }
 
     /// Puts work into the line.
-    pub fn join(&mut self, key: K, expires: Moment, item: T) -> WaitPlace {
-        let place = WaitPlace(self.joined);
+    pub fn push(&mut self, key: K, expires: Moment, item: T) -> WaitId {
+        let id = WaitId(self.joined);
         self.joined += 1;
-        self.rejoin(WaitingWork { place, key, expires, item });
-        place
+        self.requeue(WaitingWork { id, key, expires, item });
+        id
     }
 
     /// Puts work back that was taken out and could not start: it has its old place.
-    pub fn rejoin(&mut self, work: WaitingWork<K, T>) {
-        self.keys.insert(work.place, work.key);
-        self.works.insert((work.key, work.place), work);
+    pub fn requeue(&mut self, work: WaitingWork<K, T>) {
+        self.keys.insert(work.id, work.key);
+        self.works.insert((work.key, work.id), work);
     }
 
     /// Waiting work by its place.
-    pub fn get_mut(&mut self, place: WaitPlace) -> Option<&mut T> {
+    pub fn get_mut(&mut self, place: WaitId) -> Option<&mut T> {
         let key = self.keys.get(&place)?;
         self.works.get_mut(&(*key, place)).map(|work| &mut work.item)
     }
 
     /// Takes work out by its place, if it is still there.
-    pub fn leave(&mut self, place: WaitPlace) -> Option<WaitingWork<K, T>> {
+    pub fn remove(&mut self, place: WaitId) -> Option<WaitingWork<K, T>> {
         let key = self.keys.remove(&place)?;
         self.works.remove(&(key, place))
     }
 
     /// Takes out the first piece of work; those before it that have expired are dropped.
-    pub fn next(&mut self, now: Moment) -> Option<WaitingWork<K, T>> {
+    pub fn pop(&mut self, now: Moment) -> Option<WaitingWork<K, T>> {
         loop {
             let (_, work) = self.works.pop_first()?;
-            self.keys.remove(&work.place);
+            self.keys.remove(&work.id);
             if now < work.expires {
                 return Some(work);
             }
@@ -92,9 +92,8 @@
     }
 
     /// Takes out all that has expired.
-    pub fn expire(&mut self, now: Moment) -> Vec<WaitingWork<K, T>> {
-        let expired: Vec<WaitPlace> =
-            self.works.values().filter(|work| work.expires <= now).map(|work| work.place).collect();
-        expired.into_iter().filter_map(|place| self.leave(place)).collect()
+    pub fn remove_expired(&mut self, now: Moment) -> Vec<WaitingWork<K, T>> {
+        let expired: Vec<WaitId> = self.works.values().filter(|work| work.expires <= now).map(|work| work.id).collect();
+        expired.into_iter().filter_map(|place| self.remove(place)).collect()
     }
 }
--- a/crates/policy/src/wait_book.rs
+++ b/crates/policy/src/wait_tracker.rs
@@ -40,7 +40,7 @@
 
 /// How long calls of a priority wait.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct AgreedWait {
+pub struct MedianWait {
     /// The least wait that at least half of the failure domains do not exceed.
     pub wait: Duration,
     /// The age of the oldest report that it rests on.
@@ -49,11 +49,11 @@
 
 /// What nodes tell of waiting calls, this one among them.
 #[derive(Debug, Clone, Default)]
-pub struct WaitBook {
+pub struct WaitTracker {
     domains: BTreeMap<FailureDomain, BTreeMap<NodeId, WaitReport>>,
 }
 
-impl WaitBook {
+impl WaitTracker {
     /// Notes what a node tells now: the waits of those priorities of which any call waited lately.
     pub fn note(
         &mut self,
@@ -77,10 +77,10 @@
 
     /// How long calls of a priority wait, as most of those agree on that were heard lately: nodes within their
     /// failure domain, and failure domains with each other. Nothing heard is no wait.
-    pub fn wait(&self, now: Moment, priority: Priority) -> AgreedWait {
-        let alive = |reports: &BTreeMap<NodeId, WaitReport>| -> Vec<AgreedWait> {
+    pub fn wait(&self, now: Moment, priority: Priority) -> MedianWait {
+        let alive = |reports: &BTreeMap<NodeId, WaitReport>| -> Vec<MedianWait> {
             let alive = reports.values().filter(|report| report.is_alive(now));
-            alive.map(|report| AgreedWait { wait: report.wait(now, priority), age: report.age(now) }).collect()
+            alive.map(|report| MedianWait { wait: report.wait(now, priority), age: report.age(now) }).collect()
         };
         let domains = self.domains.values().filter_map(|reports| agree(alive(reports)));
         agree(domains.collect()).unwrap_or_default()
@@ -89,9 +89,9 @@
 
 /// The least wait that at least half of some views do not exceed (the lower median), so that of several views the
 /// longest alone never counts; none without a view.
-fn agree(mut views: Vec<AgreedWait>) -> Option<AgreedWait> {
+fn agree(mut views: Vec<MedianWait>) -> Option<MedianWait> {
     views.sort_unstable_by_key(|view| view.wait);
     let age = views.iter().map(|view| view.age).max()?;
     let middle = (views.len() - 1) / 2;
-    Some(AgreedWait { wait: views[middle].wait, age })
+    Some(MedianWait { wait: views[middle].wait, age })
 }
--- a/crates/policy/tests/call_order.rs
+++ b/crates/policy/tests/call_order.rs
@@ -8,8 +8,8 @@
 use streamfold_model::{Priority, TeamName};
 use streamfold_policy::Moment;
 use streamfold_policy::call_order::{ArrivalOrder, CallOrder, PriorityOrder, WaitingCall};
-use streamfold_policy::team_turns::{TeamShare, TeamTurns};
-use streamfold_policy::wait_line::WaitLine;
+use streamfold_policy::team_scheduler::{TeamScheduler, TeamShare};
+use streamfold_policy::wait_queue::WaitQueue;
 
 const URGENT: Priority = Priority(0);
 const LEAST: Priority = Priority(2);
@@ -43,7 +43,7 @@
     calls.sort_by_key(|call| call.joined);
     let mut coming = calls.into_iter().peekable();
     let mut free_at = vec![Moment(0); slots];
-    let mut line = WaitLine::default();
+    let mut line = WaitQueue::default();
     let mut made = Vec::new();
     loop {
         let (slot, mut now) = free_at.iter().copied().enumerate().min_by_key(|(_, at)| *at).expect("a slot");
@@ -53,12 +53,12 @@
         }
         while let Some(call) = coming.next_if(|call| call.joined <= now) {
             order.note_joined(call.joined, &call);
-            line.join(call.latest_start, call.expires, call);
+            line.push(call.latest_start, call.expires, call);
         }
-        line.expire(now);
-        let first = line.iter().min_by_key(|work| order.rank(now, &work.item)).map(|work| work.place);
-        let Some(work) = first.and_then(|place| line.leave(place)) else { continue };
-        order.note_made(now, &work.item);
+        line.remove_expired(now);
+        let first = line.iter().min_by_key(|work| order.rank(now, &work.item)).map(|work| work.id);
+        let Some(work) = first.and_then(|place| line.remove(place)) else { continue };
+        order.note_sent(now, &work.item);
         free_at[slot] = now.plus(took);
         made.push(MadeCall { call: work.item, made: now });
     }
@@ -114,10 +114,10 @@
 
     /// What a team was told long ago, or did while nobody else asked, does not make it wait.
     fn a_team_that_had_all_for_itself_waits_for_one_turn_at_most(alone: u16) -> bool {
-        let mut turns = TeamTurns::default();
+        let mut turns = TeamScheduler::default();
         let (busy, other) = (team(0, 1.0), team(1, 1.0));
-        (0..alone).for_each(|_| turns.note_made(&busy));
-        turns.note_made(&other);
+        (0..alone).for_each(|_| turns.note_sent(&busy));
+        turns.note_sent(&other);
         turns.turn(&busy) <= turns.turn(&other)
     }
 }
@@ -181,8 +181,8 @@
 fn a_team_at_ten_times_its_rate_takes_nothing_from_the_86_others() {
     let loud = |number: usize| if number == 3 { 10.0 } else { 1.0 };
     let soon = Duration::from_millis(500);
-    let calm = worst_tenth(&replay_teams(PriorityOrder::default().with_turns(), soon, |_| 1.0));
-    let ordered = worst_tenth(&replay_teams(PriorityOrder::default().with_turns(), soon, loud));
+    let calm = worst_tenth(&replay_teams(PriorityOrder::default().with_fair_queueing(), soon, |_| 1.0));
+    let ordered = worst_tenth(&replay_teams(PriorityOrder::default().with_fair_queueing(), soon, loud));
     let arrival = worst_tenth(&replay_teams(ArrivalOrder, soon, loud));
     assert!(calm > 0.99, "{calm}");
     assert!(ordered >= 0.95 * calm, "{ordered} of {calm}");
@@ -191,7 +191,7 @@
 
 #[test]
 fn all_teams_at_once_share_by_their_rates() {
-    let served = replay_teams(PriorityOrder::default().with_turns(), HELD, |_| 4.0);
+    let served = replay_teams(PriorityOrder::default().with_fair_queueing(), HELD, |_| 4.0);
     let (least, most) = (served.values().copied().fold(1.0, f64::min), served.values().copied().fold(0.0, f64::max));
     // 400 of 1,384 a second can be done: 0.29 of what each asks for, and nobody is left out.
     assert!(least > 0.2 && most < 0.5, "{least} to {most}");
@@ -199,26 +199,26 @@
 
 #[test]
 fn teams_whose_turn_is_past_are_forgotten() {
-    let mut turns = TeamTurns::default();
-    (0..5_000).for_each(|number| turns.note_made(&team(number, 1.0)));
+    let mut turns = TeamScheduler::default();
+    (0..5_000).for_each(|number| turns.note_sent(&team(number, 1.0)));
     assert!(turns.remembered() <= 1_024, "{}", turns.remembered());
 }
 
 #[test]
 fn a_team_without_a_limit_counts_as_the_mean_of_the_others() {
-    let mut turns = TeamTurns::default();
+    let mut turns = TeamScheduler::default();
     let free = TeamShare { team: "free".parse().ok(), rate: None };
     for _ in 0..20 {
-        turns.note_made(&team(0, 4.0));
+        turns.note_sent(&team(0, 4.0));
     }
     let before = turns.turn(&free);
-    turns.note_made(&free);
+    turns.note_sent(&free);
     assert_eq!(turns.turn(&free) - before, 250_000);
 }
 
 #[test]
 fn callers_without_a_team_share_as_one_team_does() {
-    let mut order = PriorityOrder::default().with_turns();
+    let mut order = PriorityOrder::default().with_fair_queueing();
     let at = Moment(1_000_000);
     let hold = Duration::from_secs(1);
     let waiting = |team| call(Priority(1), team, at, hold, hold);
@@ -227,7 +227,7 @@
     for _ in 0..100 {
         let is_nameless = order.rank(at, &nameless) < order.rank(at, &blue);
         let next = if is_nameless { &nameless } else { &blue };
-        order.note_made(at, next);
+        order.note_sent(at, next);
         made = if is_nameless { (made.0 + 1, made.1) } else { (made.0, made.1 + 1) };
     }
     assert!(made.0 >= 45 && made.1 >= 45, "{made:?}");
--- a/crates/policy/tests/credit_failover.rs
+++ b/crates/policy/tests/credit_failover.rs
@@ -7,7 +7,7 @@
 use streamfold_model::{TeamName, UsageLimit};
 use streamfold_policy::Moment;
 use streamfold_policy::owner::choose_owners;
-use streamfold_policy::usage_credit::{CreditAnswer, CreditPools, DomainCredits, PoolLoan, UsageAllowance};
+use streamfold_policy::usage_credit::{CreditAnswer, CreditPools, DomainCredits, PoolGrant, UsageAllowance};
 
 const DOMAINS: usize = 6;
 /// Nodes of each failure domain that give credit.
@@ -147,8 +147,8 @@
         let keeps_pool = lends(&before) && lends(seen);
         let lender = &mut self.lenders[number];
         let own = lender.own_time(now.max(lender.started));
-        lender.credits.change_lenders(own, |_| keeps_credit);
-        lender.pools.change_lenders(own, |_| keeps_pool);
+        lender.credits.change_granters(own, |_| keeps_credit);
+        lender.pools.change_granters(own, |_| keeps_pool);
     }
 
     /// Whether a node deals out credit in its failure domain where these are alive.
@@ -164,7 +164,7 @@
         rank(names, seen, home, "blue", 1).first().copied()
     }
 
-    fn lend(&mut self, now: Moment, dealer: usize, wanted: u32) -> Option<PoolLoan> {
+    fn lend(&mut self, now: Moment, dealer: usize, wanted: u32) -> Option<PoolGrant> {
         if now.since(self.lenders[dealer].started) < HEARD_AFTER && self.lenders[dealer].started > Moment::default() {
             return None;
         }
@@ -175,23 +175,23 @@
         let lender = self.lenders.get_mut(pool).filter(|lender| lender.is_up(now))?;
         let own = lender.own_time(now);
         if !lends {
-            lender.pools.stand_in(own, &team);
+            lender.pools.note_failover(own, &team);
         }
-        Some(lender.pools.lend(own, &team, limit, allowance, wanted))
+        Some(lender.pools.grant(own, &team, limit, allowance, wanted))
     }
 
     fn deal(&mut self, now: Moment, dealer: usize) -> bool {
         let (team, limit, allowance) = (self.team.clone(), self.limit, self.allowance());
         let own = self.lenders[dealer].own_time(now);
         if !self.deals(&self.names(), &self.lenders[dealer].seen, dealer) {
-            self.lenders[dealer].credits.stand_in(own, &team);
+            self.lenders[dealer].credits.note_failover(own, &team);
         }
         let answer = self.lenders[dealer].credits.take(own, &team, limit, allowance, false);
         let CreditAnswer::AskPool(wanted) = answer else { return answer == CreditAnswer::Granted };
         let loan = self.lend(now.plus(WAY), dealer, wanted);
         let told = own.plus(WAY).plus(WAY);
         let credits = &mut self.lenders[dealer].credits;
-        credits.note_loan(told, &team, loan);
+        credits.note_grant(told, &team, loan);
         credits.take(told, &team, limit, allowance, true) == CreditAnswer::Granted
     }
 
--- a/crates/policy/tests/entry_gate.rs
+++ b/crates/policy/tests/entry_gate.rs
@@ -5,7 +5,7 @@
 use quickcheck::{TestResult, quickcheck};
 use streamfold_model::Priority;
 use streamfold_policy::Moment;
-use streamfold_policy::entry_gate::{EntryAsk, EntryGate, EntryRule, EntryStep, OpenGate};
+use streamfold_policy::entry_gate::{AdmitAll, EntryDecision, EntryGate, EntryRequest, EntryRule};
 use streamfold_policy::replica::{CallSample, ReplicaState};
 use streamfold_policy::server_outlook::{FinishOutlook, ServerOutlook, ShardOutlook, expect_answers};
 
@@ -109,9 +109,9 @@
     fn request(&mut self, now: Moment, gate: &mut dyn EntryRule, tally: &mut Tally) {
         self.shards.iter_mut().flatten().for_each(|server| server.learn(now));
         let expected = self.expected(now);
-        let ask = EntryAsk { priority: Priority(1), target: TARGET, left: self.left, expected, waited: ms(0) };
+        let ask = EntryRequest { priority: Priority(1), target: TARGET, left: self.left, expected, waited: ms(0) };
         let could = self.true_finish(now) <= now.plus(self.left);
-        if gate.decide(now, &ask) != EntryStep::Begin {
+        if gate.decide(now, &ask) != EntryDecision::Admit {
             tally.refused += 1;
             tally.wrongly += usize::from(could);
             return;
@@ -152,7 +152,7 @@
     let slow = |shard: usize, _| if shard.is_multiple_of(3) { SLOW } else { 1.0 };
     // 160 ms of work do not fit into 150.
     let with = Model::new(30, 28, ms(150), slow).replay(&mut EntryGate::default(), 400, ms(12));
-    let without = Model::new(30, 28, ms(150), slow).replay(&mut OpenGate, 400, ms(12));
+    let without = Model::new(30, 28, ms(150), slow).replay(&mut AdmitAll, 400, ms(12));
     insta::assert_snapshot!(format!("with: {with:?}\nwithout: {without:?}"));
     assert_eq!((with.wrongly, with.in_time), (0, without.in_time));
     assert!(with.refused > 0 && without.refused == 0, "{with:?} {without:?}");
@@ -217,12 +217,13 @@
 
 #[test]
 fn the_wait_told_is_the_time_after_which_it_would_be_answered_within_its_target() {
-    let ask = EntryAsk { priority: Priority(0), target: TARGET, left: ms(500), expected: Some(ms(900)), waited: ms(0) };
+    let ask =
+        EntryRequest { priority: Priority(0), target: TARGET, left: ms(500), expected: Some(ms(900)), waited: ms(0) };
     let now = Moment::default().plus(ms(1_000));
-    let EntryStep::Hopeless { wait } = EntryGate::default().decide(now, &ask) else { panic!("not refused") };
-    let later = EntryAsk { expected: Some(ms(900) - wait), ..ask };
-    assert_eq!((wait, EntryGate::default().decide(now, &later)), (ms(800), EntryStep::Begin));
-    assert_eq!(OpenGate.decide(now, &ask), EntryStep::Begin);
+    let EntryDecision::CannotFinish { wait } = EntryGate::default().decide(now, &ask) else { panic!("not refused") };
+    let later = EntryRequest { expected: Some(ms(900) - wait), ..ask };
+    assert_eq!((wait, EntryGate::default().decide(now, &later)), (ms(800), EntryDecision::Admit));
+    assert_eq!(AdmitAll.decide(now, &ask), EntryDecision::Admit);
 }
 
 /// Outlooks from small numbers: each server's finish in tens of milliseconds and its words.
--- a/crates/policy/tests/late_alarm.rs
+++ b/crates/policy/tests/late_timer.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use streamfold_policy::Moment;
-use streamfold_policy::late_alarm::AlarmWatch;
+use streamfold_policy::late_timer::TimerWatch;
 
 fn at(millis: u64) -> Moment {
     Moment::default().plus(Duration::from_millis(millis))
@@ -12,7 +12,7 @@
 /// Guards against second calls by a node that goes on after a pause, before it has read what came meanwhile.
 #[test]
 fn an_alarm_that_fires_far_too_late_is_put_off_once() {
-    let mut watch = AlarmWatch::default();
+    let mut watch = TimerWatch::default();
     assert!(watch.is_due(at(59), at(55)), "timers are a little late");
     assert_eq!(watch.wake_at(at(55)), at(55));
     assert!(!watch.is_due(at(400), at(55)), "the node did not run");
--- a/crates/policy/tests/priority_level.rs
+++ b/crates/policy/tests/priority_level.rs
@@ -5,7 +5,7 @@
 use quickcheck::quickcheck;
 use streamfold_model::Priority;
 use streamfold_policy::Moment;
-use streamfold_policy::entry_gate::{EntryAsk, EntryGate, EntryRule, EntryStep};
+use streamfold_policy::entry_gate::{EntryDecision, EntryGate, EntryRequest, EntryRule};
 
 const TARGET: Duration = Duration::from_millis(100);
 /// Time between two requests of the replays.
@@ -27,9 +27,10 @@
         Self { gate: EntryGate::default(), now: Moment::default().plus(ms(1_000)), changes: Vec::new() }
     }
 
-    fn ask(&mut self, priority: u32, waited: Duration) -> EntryStep {
+    fn ask(&mut self, priority: u32, waited: Duration) -> EntryDecision {
         let before = self.gate.level().closed();
-        let ask = EntryAsk { priority: Priority(priority), target: TARGET, left: ms(1_000), expected: None, waited };
+        let ask =
+            EntryRequest { priority: Priority(priority), target: TARGET, left: ms(1_000), expected: None, waited };
         let step = self.gate.decide(self.now, &ask);
         let after = self.gate.level().closed();
         if after != before {
@@ -66,7 +67,7 @@
     for _ in 0..200 {
         for (priority, target) in [(0, TARGET), (0, ms(2_000)), (2, ms(2_000))] {
             let priority = Priority(priority);
-            gate.decide(now, &EntryAsk { priority, target, left: ms(4_000), expected: None, waited: ms(90) });
+            gate.decide(now, &EntryRequest { priority, target, left: ms(4_000), expected: None, waited: ms(90) });
         }
         now = now.plus(EVERY);
     }
@@ -111,7 +112,7 @@
     while replay.now < end {
         // One urgent call, one less so, and eight of the flood come in each step, of two milliseconds' work each.
         for priority in [0, 1, 2, 2, 2, 2, 2, 2, 2, 2] {
-            if replay.ask(priority, backlog) == EntryStep::Begin {
+            if replay.ask(priority, backlog) == EntryDecision::Admit {
                 backlog += ms(2);
             }
         }
@@ -134,11 +135,11 @@
 fn the_time_told_is_when_the_level_opens_if_waits_are_short() {
     let mut replay = Replay::new();
     replay.run(ms(1_500), [80, 120, 300]);
-    let EntryStep::GiveWay { wait } = replay.ask(2, ms(0)) else { panic!("not turned away") };
+    let EntryDecision::Yield { wait } = replay.ask(2, ms(0)) else { panic!("not turned away") };
     replay.now = replay.now.plus(wait - EVERY);
-    assert!(matches!(replay.ask(2, ms(0)), EntryStep::GiveWay { .. }));
+    assert!(matches!(replay.ask(2, ms(0)), EntryDecision::Yield { .. }));
     replay.now = replay.now.plus(EVERY);
-    assert_eq!(replay.ask(2, ms(0)), EntryStep::Begin);
+    assert_eq!(replay.ask(2, ms(0)), EntryDecision::Admit);
 }
 
 quickcheck! {
@@ -149,7 +150,7 @@
         for (priority, wait, later) in asks.iter().cycle().take(asks.len() * 20) {
             let priority = u32::from(*priority % 4);
             let step = replay.ask(priority, ms(u64::from(*wait)));
-            if priority == most_urgent && step != EntryStep::Begin {
+            if priority == most_urgent && step != EntryDecision::Admit {
                 return false;
             }
             replay.now = replay.now.plus(ms(u64::from(*later)));
--- a/crates/policy/tests/turn_book.rs
+++ b/crates/policy/tests/reservation_table.rs
@@ -9,7 +9,7 @@
 use streamfold_model::{ContentId, TeamName, UsageLimit};
 use streamfold_policy::Moment;
 use streamfold_policy::come_back::{TurnReason, come_back_after, usable_wait};
-use streamfold_policy::turn_book::{PlaceOffer, TurnAsk, TurnBook};
+use streamfold_policy::reservation_table::{ReservationOffer, ReservationRequest, ReservationTable};
 use streamfold_policy::usage_credit::{CreditAnswer, CreditPools, DomainCredits, UsageAllowance};
 
 /// The bound: in any window a team's rate and burst, a tenth more, and twenty requests.
@@ -72,16 +72,17 @@
         let (team, limit, allowance) = (&self.team, self.limit, self.allowance);
         let giver = &mut self.domains[domain];
         let ask = caller.ask();
-        let answer = giver.take_in_turn(now, team, limit, allowance, &ask);
+        let answer = giver.take_reserved(now, team, limit, allowance, &ask);
         let CreditAnswer::AskPool(wanted) = answer else { return (now, answer) };
         let asked = now.plus(WAY);
         let loan = (!self.is_cut[domain]).then(|| {
             let own = Moment(asked.0 - self.pool_started.0);
-            self.pool.lend(own, team, limit, allowance, wanted)
+            self.pool.grant(own, team, limit, allowance, wanted)
         });
         let told = asked.plus(WAY);
-        giver.note_loan(told, team, loan);
-        let answer = giver.take_in_turn(told, team, limit, allowance, &TurnAsk { is_last: true, ..ask });
+        giver.note_grant(told, team, loan);
+        let answer =
+            giver.take_reserved(told, team, limit, allowance, &ReservationRequest { is_pool_asked: true, ..ask });
         (told, answer)
     }
 }
@@ -94,8 +95,12 @@
 }
 
 impl Caller {
-    fn ask(self) -> TurnAsk {
-        TurnAsk { content: ContentId::of(&[&self.number.to_le_bytes()]), usable: self.usable, is_last: false }
+    fn ask(self) -> ReservationRequest {
+        ReservationRequest {
+            content: ContentId::of(&[&self.number.to_le_bytes()]),
+            max_wait: self.usable,
+            is_pool_asked: false,
+        }
     }
 }
 
@@ -144,12 +149,12 @@
                 outcome.ran.push(arrival.at);
                 outcome.in_turn += usize::from(arrival.is_told);
             }
-            CreditAnswer::Place(PlaceOffer { wait, is_given }) => {
+            CreditAnswer::Reservation(ReservationOffer { wait, is_reserved }) => {
                 outcome.in_vain += usize::from(arrival.is_told);
-                outcome.too_far += usize::from(!is_given);
+                outcome.too_far += usize::from(!is_reserved);
                 let told = come_back_after(TurnReason::Place { wait }, dice.roll());
                 let at = answered.plus(told).plus(RETURN_WAY).plus(OWN_PAUSE.mul_f64(dice.roll()));
-                if is_given {
+                if is_reserved {
                     arrivals.push(Reverse(Arrival { at, is_told: true, ..arrival }));
                 }
             }
@@ -274,7 +279,7 @@
 
 #[test]
 fn a_place_that_nobody_comes_for_is_released_and_one_that_is_due_is_taken_once() {
-    let (mut book, now, rate) = (TurnBook::default(), BEGIN, 10.0);
+    let (mut book, now, rate) = (ReservationTable::default(), BEGIN, 10.0);
     let caller = |number, usable| Caller { number, usable: Duration::from_millis(usable) }.ask();
     let mut offer = |usable| book.offer(now, Duration::from_millis(40), rate, &caller(usable, usable));
     let offers: Vec<String> = [500, 501, 100, 502].map(&mut offer).iter().map(|offer| format!("{offer:?}")).collect();
@@ -340,7 +345,7 @@
         match answer {
             CreditAnswer::Granted if dice.below(10) == 0 => lenders.domains[arrival.domain].give_back(&lenders.team),
             CreditAnswer::Granted => ran.push(arrival.at),
-            CreditAnswer::Place(PlaceOffer { wait, is_given: true }) => {
+            CreditAnswer::Reservation(ReservationOffer { wait, is_reserved: true }) => {
                 let at = answered.plus(wait).plus(RETURN_WAY);
                 arrivals.push(Reverse(Arrival { at, ..arrival }));
             }
@@ -361,14 +366,14 @@
 
     /// A place is never earlier than the one before, and a caller is never asked back before its place.
     fn callers_return_at_their_places_or_a_little_later(waits: Vec<u16>, rate: u8, dice: u8) -> bool {
-        let mut book = TurnBook::default();
+        let mut book = ReservationTable::default();
         let mut last = Duration::ZERO;
         waits.into_iter().all(|wait| {
             let caller = Caller { number: 0, usable: Duration::from_millis(u64::from(wait)) };
             let offer = book.offer(BEGIN, Duration::from_millis(30), f64::from(rate) + 0.1, &caller.ask());
             let told = come_back_after(TurnReason::Place { wait: offer.wait }, f64::from(dice) / 255.0);
             let is_in_order = offer.wait >= last;
-            last = if offer.is_given { offer.wait } else { last };
+            last = if offer.is_reserved { offer.wait } else { last };
             is_in_order && told >= offer.wait && told <= offer.wait + Duration::from_millis(1)
         })
     }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -14,7 +14,7 @@
 use streamfold_policy::owner::{choose_owners, connection_share};
 use streamfold_policy::pin::choose_version;
 use streamfold_policy::{
-    AdaptiveRules, Admission, AdmissionAsk, AdmissionGate, CallReport, HeldVersions, LatencyTrack, MemberEntry,
+    AdaptiveRules, Admission, AdmissionControl, AdmissionRequest, CallReport, HeldVersions, LatencyTrack, MemberEntry,
     MemberState, MemberTable, MemberTimes, Moment, QueueSubmission, ServerState, UpstreamQueue, WorkItem, WorkReport,
 };
 
@@ -76,7 +76,7 @@
 
     /// Running never passes the limit, counts add up, and a place given back goes to waiting work.
     fn admission_keeps_its_counts(events: Vec<(u8, u8)>) -> bool {
-        let mut gate: AdmissionGate<u8> = AdmissionGate::new(true);
+        let mut gate: AdmissionControl<u8> = AdmissionControl::new(true);
         let callers: [CallerName; 2] = ["greedy", "modest"].map(|name| name.parse().expect("a name"));
         let mut running: Vec<usize> = Vec::new();
         let mut waiting = 0usize;
@@ -85,8 +85,8 @@
             let who = usize::from(who % 4 == 0);
             if kind % 3 != 0 || running.is_empty() {
                 let caller = callers[who].clone();
-                let ask = AdmissionAsk { caller, rate: 1e6, concurrency: 1_000, deadline: now.plus(Duration::from_secs(9)) };
-                match gate.ask(now, &ask, who as u8) {
+                let ask = AdmissionRequest { caller, rate: 1e6, concurrency: 1_000, deadline: now.plus(Duration::from_secs(9)) };
+                match gate.admit(now, &ask, who as u8) {
                     Admission::Started => running.push(who),
                     Admission::Waiting(_) => waiting += 1,
                     Admission::Displaced(..) | Admission::Refused(_) => {}
@@ -95,7 +95,7 @@
                 let who = running.swap_remove(usize::from(kind) % running.len());
                 let waited = Duration::from_millis(u64::from(kind));
                 let work = WorkReport { waited, served: Duration::from_millis(40) };
-                for (_, tag) in gate.leave(now, &callers[who], Duration::from_millis(50), work) {
+                for (_, tag) in gate.finish(now, &callers[who], Duration::from_millis(50), work) {
                     running.push(usize::from(tag));
                     waiting -= 1;
                 }
@@ -239,8 +239,8 @@
 
 #[test]
 fn a_modest_caller_displaces_a_greedy_one() {
-    let mut gate: AdmissionGate<&str> = AdmissionGate::new(true);
-    let ask = |name: &str| AdmissionAsk {
+    let mut gate: AdmissionControl<&str> = AdmissionControl::new(true);
+    let ask = |name: &str| AdmissionRequest {
         caller: name.parse().expect("a name"),
         rate: 1e6,
         concurrency: 1_000,
@@ -248,11 +248,11 @@
     };
     let mut refused = 0;
     for _ in 0..200 {
-        refused += usize::from(matches!(gate.ask(Moment(1), &ask("greedy"), "greedy"), Admission::Refused(_)));
+        refused += usize::from(matches!(gate.admit(Moment(1), &ask("greedy"), "greedy"), Admission::Refused(_)));
     }
     assert!(refused > 0 && gate.waiting() > 0);
-    assert!(matches!(gate.ask(Moment(1), &ask("modest"), "modest"), Admission::Displaced(_, "greedy")));
+    assert!(matches!(gate.admit(Moment(1), &ask("modest"), "modest"), Admission::Displaced(_, "greedy")));
     let caller = "greedy".parse().expect("a name");
-    let started = gate.leave(Moment(2), &caller, Duration::from_millis(1), WorkReport::default());
+    let started = gate.finish(Moment(2), &caller, Duration::from_millis(1), WorkReport::default());
     assert_eq!(started[0].1, "modest", "the caller with the fewest running is next");
 }
--- a/crates/policy/tests/usage_credit.rs
+++ b/crates/policy/tests/usage_credit.rs
@@ -68,10 +68,10 @@
         let asked = now.plus(WAY);
         let loan = (!self.is_cut[domain]).then(|| {
             let own = Moment(asked.0 - self.pool_started.0);
-            self.pool.lend(own, team, limit, allowance, wanted)
+            self.pool.grant(own, team, limit, allowance, wanted)
         });
         let told = asked.plus(WAY);
-        self.domains[domain].note_loan(told, team, loan);
+        self.domains[domain].note_grant(told, team, loan);
         self.domains[domain].take(told, team, limit, allowance, true) == CreditAnswer::Granted
     }
 }
@@ -172,11 +172,13 @@
 #[test]
 fn a_node_that_has_not_heard_of_all_others_divides_by_the_settings_and_asks_no_pool() {
     let team = "blue".parse().expect("a name");
-    let just_started = CreditDomains { known: &["zone-a"], named: 6, are_all_heard: false };
+    let just_started = CreditDomains { known: &["zone-a"], configured: 6, has_full_listing: false };
     assert_eq!((just_started.count(), just_started.find_pool(&team)), (6, None));
     let all = ["zone-a", "zone-b", "zone-c"];
     let pools: Vec<Option<&str>> = [0, 3]
-        .map(|named| CreditDomains { known: &all, named, are_all_heard: true }.find_pool(&team).map(|_| "a pool"))
+        .map(|named| {
+            CreditDomains { known: &all, configured: named, has_full_listing: true }.find_pool(&team).map(|_| "a pool")
+        })
         .to_vec();
     assert_eq!(pools, [Some("a pool"); 2]);
 }
--- a/crates/policy/tests/wait_book.rs
+++ b/crates/policy/tests/wait_tracker.rs
@@ -5,7 +5,7 @@
 use quickcheck::{TestResult, quickcheck};
 use streamfold_model::{FailureDomain, NodeId, Priority};
 use streamfold_policy::Moment;
-use streamfold_policy::wait_book::WaitBook;
+use streamfold_policy::wait_tracker::WaitTracker;
 
 const RANK: Priority = Priority(1);
 
@@ -27,7 +27,7 @@
 
 #[test]
 fn reports_of_a_node_that_died_fade_within_a_second() {
-    let mut book = WaitBook::default();
+    let mut book = WaitTracker::default();
     book.note(at(0), &domain(0), &node(0), [(RANK, ms(400))]);
     let faded: Vec<String> = [0, 250, 500, 900, 1_000, 60_000]
         .map(|later| format!("{later} ms later: {:?}", book.wait(at(later), RANK).wait))
@@ -37,7 +37,7 @@
 
 #[test]
 fn a_failure_domain_that_is_cut_off_uses_its_own_waits() {
-    let mut book = WaitBook::default();
+    let mut book = WaitTracker::default();
     for other in 1..4 {
         book.note(at(0), &domain(other), &node(other), []);
     }
@@ -50,13 +50,13 @@
 
 #[test]
 fn what_most_failure_domains_agree_on_counts_and_other_priorities_do_not_wait() {
-    let mut book = WaitBook::default();
+    let mut book = WaitTracker::default();
     for (place, wait) in [300, 350, 5_000, 0, 320].into_iter().enumerate() {
         book.note(at(0), &domain(place), &node(place), [(RANK, ms(wait))]);
     }
     assert_eq!(book.wait(at(0), RANK).wait, ms(320));
     assert_eq!(book.wait(at(0), Priority(0)).wait, ms(0));
-    assert_eq!(WaitBook::default().wait(at(0), RANK).wait, ms(0));
+    assert_eq!(WaitTracker::default().wait(at(0), RANK).wait, ms(0));
 }
 
 quickcheck! {
@@ -64,7 +64,7 @@
     /// longer than some other node tells.
     fn one_wrong_report_never_makes_a_wait(others: Vec<(u8, u16)>, place: u8, wrong: u16) -> TestResult {
         let Some(longest) = others.iter().map(|(_, wait)| *wait).max() else { return TestResult::discard() };
-        let mut book = WaitBook::default();
+        let mut book = WaitTracker::default();
         for (number, (place, wait)) in others.iter().enumerate() {
             book.note(at(0), &domain(usize::from(*place % 4)), &node(number), [(RANK, ms(u64::from(*wait)))]);
         }
--- a/crates/router/src/call_line.rs
+++ b/crates/router/src/call_line.rs
@@ -8,8 +8,8 @@
 
 use streamfold_model::{Priority, ServiceName, TeamName};
 use streamfold_policy::call_order::{CallOrder, WaitingCall};
-use streamfold_policy::wait_line::{WaitLine, WaitingWork};
-use streamfold_policy::{Moment, WaitPlace};
+use streamfold_policy::wait_queue::{WaitQueue, WaitingWork};
+use streamfold_policy::{Moment, WaitId};
 use tokio::sync::Notify;
 
 use crate::call_waits::{CallWaits, priority_label};
@@ -39,7 +39,7 @@
     rule: LineRule,
     order: Box<dyn CallOrder>,
     /// The latest start first; the order goes before that.
-    line: WaitLine<Moment, LineEntry>,
+    line: WaitQueue<Moment, LineEntry>,
     /// The call that is called up, and since when.
     called: Option<(LineWork, Moment)>,
     /// Counts the moments at which there may have been room anew.
@@ -76,9 +76,9 @@
         }
         if let Some((mut late, _)) = self.called.take() {
             late.item.is_asleep = true;
-            self.line.rejoin(late);
+            self.line.requeue(late);
         }
-        self.line.expire(now);
+        self.line.remove_expired(now);
         if self.passed > MAX_PASSED {
             return;
         }
@@ -89,16 +89,16 @@
             true => waiting.min_by_key(|work| self.order.rank(now, &work.item.call)),
             false => waiting.min_by_key(|work| work.item.looked_in),
         };
-        let first = first.map(|work| work.place);
-        let Some(mut work) = first.and_then(|place| self.line.leave(place)) else { return };
+        let first = first.map(|work| work.id);
+        let Some(mut work) = first.and_then(|place| self.line.remove(place)) else { return };
         work.item.looked_in = self.round;
         work.item.wake.notify_one();
         self.called = Some((work, now));
     }
 
     /// Takes out the call that is called up, if it is the one of a place.
-    fn take_called(&mut self, place: WaitPlace) -> Option<LineWork> {
-        let (work, _) = self.called.take_if(|(work, _)| work.place == place)?;
+    fn take_called(&mut self, place: WaitId) -> Option<LineWork> {
+        let (work, _) = self.called.take_if(|(work, _)| work.id == place)?;
         Some(work)
     }
 }
@@ -109,7 +109,7 @@
         let state = LineState {
             rule,
             order: rule.order(),
-            line: WaitLine::default(),
+            line: WaitQueue::default(),
             called: None,
             round: 1,
             passed: 0,
@@ -171,7 +171,7 @@
         let mut state = self.state();
         let ahead = state.line.len() + usize::from(state.called.is_some());
         state.order.note_joined(now, &call);
-        let place = state.line.join(call.latest_start, call.expires, entry);
+        let place = state.line.push(call.latest_start, call.expires, entry);
         self.waits.note_joined(call.priority, call.joined);
         state.call_up(now);
         drop(state);
@@ -199,7 +199,7 @@
 pub struct CallPlace {
     line: Arc<CallLine>,
     clock: NodeClock,
-    place: WaitPlace,
+    place: WaitId,
     wake: Arc<Notify>,
     call: WaitingCall,
     ahead: usize,
@@ -240,7 +240,7 @@
     /// Whether it is called up; one that took too long is not any more.
     pub fn is_called(&self) -> bool {
         let state = self.line.state();
-        state.called.as_ref().is_some_and(|(work, _)| work.place == self.place)
+        state.called.as_ref().is_some_and(|(work, _)| work.id == self.place)
     }
 
     /// How long its call has waited.
@@ -255,8 +255,8 @@
         let mut state = self.line.state();
         // It may have been called up for so long that another one is by now.
         state.take_called(self.place);
-        state.line.leave(self.place);
-        state.order.note_made(now, &self.call);
+        state.line.remove(self.place);
+        state.order.note_sent(now, &self.call);
         state.call_up(now);
     }
 
@@ -266,7 +266,7 @@
         let mut state = self.line.state();
         let Some(work) = state.take_called(self.place) else { return };
         let is_room_new = work.item.looked_in < state.round;
-        state.line.rejoin(work);
+        state.line.requeue(work);
         state.passed += 1;
         if has_room || is_room_new {
             state.call_up(self.clock.now());
@@ -298,7 +298,7 @@
         let waited = now.since(self.call.joined);
         let mut state = self.line.state();
         let was_called = state.take_called(self.place).is_some();
-        state.line.leave(self.place);
+        state.line.remove(self.place);
         if was_called {
             state.call_up(now);
         }
--- a/crates/router/src/contention.rs
+++ b/crates/router/src/contention.rs
@@ -19,7 +19,7 @@
     /// The order of a new line.
     pub fn order(self) -> Box<dyn CallOrder> {
         let order = PriorityOrder::default();
-        Box::new(if self.by_team { order.with_turns() } else { order })
+        Box::new(if self.by_team { order.with_fair_queueing() } else { order })
     }
 }
 
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -6,9 +6,9 @@
 
 use streamfold_model::{FailureDomain, NodeId, Priority, RouteTarget, ServiceName, ShardFold};
 use streamfold_policy::come_back::TurnReason;
-use streamfold_policy::entry_gate::{EntryAsk, EntryGate, EntryRule, EntryStep};
+use streamfold_policy::entry_gate::{EntryDecision, EntryGate, EntryRequest, EntryRule};
 use streamfold_policy::server_outlook::{ShardOutlook, expect_answers};
-use streamfold_policy::wait_book::{AgreedWait, WaitBook};
+use streamfold_policy::wait_tracker::{MedianWait, WaitTracker};
 use streamfold_policy::{Mechanism, Moment};
 
 use crate::answer::RefusalKind;
@@ -24,7 +24,7 @@
 #[derive(Default)]
 pub struct EntryControl {
     gate: Mutex<EntryGate>,
-    waits: Mutex<WaitBook>,
+    waits: Mutex<WaitTracker>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -39,12 +39,12 @@
         lock(&self.waits).note(now, domain, node, waits);
     }
 
-    fn wait(&self, now: Moment, priority: Priority) -> AgreedWait {
+    fn wait(&self, now: Moment, priority: Priority) -> MedianWait {
         lock(&self.waits).wait(now, priority)
     }
 
     /// What becomes of a request; tells the level if it has changed.
-    fn decide(&self, now: Moment, ask: &EntryAsk) -> EntryStep {
+    fn decide(&self, now: Moment, ask: &EntryRequest) -> EntryDecision {
         let mut gate = lock(&self.gate);
         let before = gate.level().closed();
         let step = gate.decide(now, ask);
@@ -84,7 +84,7 @@
     note_own(context, now);
     let told = control.wait(now, context.priority);
     let left = context.request.deadline.since(now);
-    let ask = EntryAsk {
+    let ask = EntryRequest {
         priority: context.priority,
         target: context.route.target_latency,
         left,
@@ -92,9 +92,9 @@
         waited: told.wait,
     };
     let (reason, wait) = match control.decide(now, &ask) {
-        EntryStep::Begin => return Ok(()),
-        EntryStep::Hopeless { wait } => ("hopeless", wait),
-        EntryStep::GiveWay { wait } => ("give_way", wait),
+        EntryDecision::Admit => return Ok(()),
+        EntryDecision::CannotFinish { wait } => ("hopeless", wait),
+        EntryDecision::Yield { wait } => ("give_way", wait),
     };
     note_turned_away(context, &ask, told, reason);
     Err(RefusalKind::not_run(TurnReason::Overload { wait }))
@@ -116,7 +116,7 @@
 /// When enough shards of a request are expected to have answered.
 fn expect(context: &AttemptContext, fold: &ShardFold, now: Moment, left: Duration) -> Option<Duration> {
     let outlooks: Vec<ShardOutlook> = fold.shards.iter().map(|shard| foresee(context, shard, now, left)).collect();
-    expect_answers(&outlooks, fold_rule(context, fold).least_answers())
+    expect_answers(&outlooks, fold_rule(context, fold).min_answers())
 }
 
 /// What is known of a shard's servers; of no further ones once one is expected in time.
@@ -130,7 +130,7 @@
     ShardOutlook::of(outlooks, left)
 }
 
-fn note_turned_away(context: &AttemptContext, ask: &EntryAsk, told: AgreedWait, reason: &'static str) {
+fn note_turned_away(context: &AttemptContext, ask: &EntryRequest, told: MedianWait, reason: &'static str) {
     let labels = [("reason", reason.to_owned()), ("priority", priority_label(ask.priority))];
     metrics::counter!("streamfold_requests_turned_away_total", &labels).increment(1);
     tracing::info!(
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -14,9 +14,9 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use streamfold_link::socket::watch_peer;
 use streamfold_model::{RouteSpec, RouteTable, RouteTarget, TeamSpec};
-use streamfold_policy::caller_way::find_begin;
 use streamfold_policy::come_back::TurnReason;
 use streamfold_policy::crash_book::ContentStanding;
+use streamfold_policy::request_start::find_request_start;
 use streamfold_policy::split_rule::SplitTurns;
 use streamfold_policy::{Mechanism, Moment};
 use tokio::net::{TcpListener, TcpStream};
@@ -147,7 +147,7 @@
 fn note_arrival(router: &Router, accepted: Option<Moment>) -> RequestArrival {
     let read = router.clock.now();
     let way = router.settings.caller_way.filter(|_| router.has(Mechanism::HandshakeTime));
-    RequestArrival { begun: way.map_or(read, |way| find_begin(read, accepted, way.0)), read }
+    RequestArrival { begun: way.map_or(read, |way| find_request_start(read, accepted, way.0)), read }
 }
 
 async fn prepare(
--- a/crates/router/src/gather.rs
+++ b/crates/router/src/gather.rs
@@ -14,7 +14,7 @@
 use streamfold_policy::canary::RequestFate;
 use streamfold_policy::come_back::TurnReason;
 use streamfold_policy::fold_rule::{FoldRule, FoldStep};
-use streamfold_policy::late_alarm::AlarmWatch;
+use streamfold_policy::late_timer::TimerWatch;
 use tokio::time::Sleep;
 
 use crate::answer::{CallerAnswer, RefusalKind};
@@ -60,7 +60,7 @@
     pub top: usize,
     pub(crate) calls: PendingCalls,
     pub(crate) pending_batches: PendingBatches,
-    watch: AlarmWatch,
+    watch: TimerWatch,
 }
 
 /// How a request to every shard ended.
@@ -125,7 +125,7 @@
             top: fold.top,
             calls: PendingCalls::new(),
             pending_batches: PendingBatches::new(),
-            watch: AlarmWatch::default(),
+            watch: TimerWatch::default(),
         }
     }
 
--- a/crates/router/src/lenders.rs
+++ b/crates/router/src/lenders.rs
@@ -39,7 +39,11 @@
 
 /// Among which failure domains credit is divided.
 pub(crate) fn credit_domains<'a>(router: &Router, known: &'a [&'a str]) -> CreditDomains<'a> {
-    CreditDomains { known, named: router.settings.regions.len(), are_all_heard: router.is_listed(FeedTopic::Nodes) }
+    CreditDomains {
+        known,
+        configured: router.settings.regions.len(),
+        has_full_listing: router.is_listed(FeedTopic::Nodes),
+    }
 }
 
 /// The node that lends from the pool of a team.
--- a/crates/router/src/line_choice.rs
+++ b/crates/router/src/line_choice.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use streamfold_policy::call_order::WaitingCall;
-use streamfold_policy::team_turns::TeamShare;
+use streamfold_policy::team_scheduler::TeamShare;
 
 use crate::attempt_context::{AttemptContext, PendingCalls, RequestAsker};
 use crate::attempts::{AttemptStop, ServiceAttempts};
--- a/crates/router/src/single.rs
+++ b/crates/router/src/single.rs
@@ -8,7 +8,7 @@
 use http_body_util::Full;
 use streamfold_model::{ServiceName, WeightedService};
 use streamfold_policy::come_back::TurnReason;
-use streamfold_policy::late_alarm::AlarmWatch;
+use streamfold_policy::late_timer::TimerWatch;
 use streamfold_policy::split_rule::{SplitTurns, choose_part};
 
 use crate::answer::{CallerAnswer, RefusalKind};
@@ -65,7 +65,7 @@
     async fn wait(&mut self) -> Option<ServerReply> {
         let clock = self.context.router.clock;
         let deadline = self.context.request.deadline;
-        let mut watch = AlarmWatch::default();
+        let mut watch = TimerWatch::default();
         let mut timer = pin!(tokio::time::sleep(Duration::ZERO));
         while self.attempts.is_open() {
             if clock.now() >= deadline {
--- a/crates/router/src/usage.rs
+++ b/crates/router/src/usage.rs
@@ -9,8 +9,8 @@
 use streamfold_link::PeerLink;
 use streamfold_model::{ContentId, NodeEntry, NodeId, TeamName, TeamSpec, UsageLimit};
 use streamfold_policy::come_back::{TurnReason, usable_wait};
-use streamfold_policy::turn_book::{PlaceCounts, PlaceOffer, TurnAsk};
-use streamfold_policy::usage_credit::{CreditAnswer, CreditPools, DomainCredits, PoolLoan, UsageAllowance};
+use streamfold_policy::reservation_table::{ReservationCounts, ReservationOffer, ReservationRequest};
+use streamfold_policy::usage_credit::{CreditAnswer, CreditPools, DomainCredits, PoolGrant, UsageAllowance};
 use streamfold_policy::{Mechanism, Moment};
 
 use crate::answer::RefusalKind;
@@ -73,9 +73,13 @@
     }
 
     /// How it is asked for in turn.
-    fn turn(&self, is_last: bool) -> Option<TurnAsk> {
+    fn turn(&self, is_pool_asked: bool) -> Option<ReservationRequest> {
         let caller = self.caller?;
-        Some(TurnAsk { content: caller.content, usable: Duration::from_micros(caller.usable_us), is_last })
+        Some(ReservationRequest {
+            content: caller.content,
+            max_wait: Duration::from_micros(caller.usable_us),
+            is_pool_asked,
+        })
     }
 }
 
@@ -110,8 +114,8 @@
         Self { wait_us: wait.as_micros() as u64, ..Self::granted(0) }
     }
 
-    fn place(offer: PlaceOffer) -> Self {
-        let turn = if offer.is_given { ReturnTurn::Given } else { ReturnTurn::TooFar };
+    fn place(offer: ReservationOffer) -> Self {
+        let turn = if offer.is_reserved { ReturnTurn::Given } else { ReturnTurn::TooFar };
         Self { turn, ..Self::refused(offer.wait) }
     }
 
@@ -305,8 +309,8 @@
     let both = [&before, &view.lenders];
     let deals = |team: &TeamName| both.iter().all(|lenders| is_dealer(router, lenders, team));
     let lends = |team: &TeamName| both.iter().all(|lenders| is_pool(router, lenders, team));
-    lock(&router.usage.domain).change_lenders(now, deals);
-    lock(&router.usage.pools).change_lenders(now, lends);
+    lock(&router.usage.domain).change_granters(now, deals);
+    lock(&router.usage.pools).change_granters(now, lends);
     let domains = view.lenders.len();
     tracing::info!(event = "lenders_changed", domains, lenders = view.lenders.values().map(Vec::len).sum::<usize>());
 }
@@ -324,34 +328,34 @@
     let Some(limit) = find_limit(view, team) else { return CreditReply::granted(1) };
     note_lenders(router, view);
     if !is_dealer(router, &view.lenders, team) {
-        lock(&router.usage.domain).stand_in(router.clock.now(), team);
+        lock(&router.usage.domain).note_failover(router.clock.now(), team);
     }
     let allowance = allowance(router, view);
-    let take = |is_last: bool| {
+    let take = |is_pool_asked: bool| {
         let (now, mut credits) = (router.clock.now(), lock(&router.usage.domain));
-        let Some(turn) = request.turn(is_last).filter(|_| has_turns(router)) else {
-            return credits.take(now, team, limit, allowance, is_last);
+        let Some(turn) = request.turn(is_pool_asked).filter(|_| has_turns(router)) else {
+            return credits.take(now, team, limit, allowance, is_pool_asked);
         };
-        let answer = credits.take_in_turn(now, team, limit, allowance, &turn);
-        count_places(credits.take_place_counts(team));
+        let answer = credits.take_reserved(now, team, limit, allowance, &turn);
+        count_places(credits.take_reservation_counts(team));
         answer
     };
     let mut answer = take(false);
     if let CreditAnswer::AskPool(wanted) = answer {
         let loan = ask_pool(router, view, team, wanted).await;
-        lock(&router.usage.domain).note_loan(router.clock.now(), team, loan);
+        lock(&router.usage.domain).note_grant(router.clock.now(), team, loan);
         answer = take(true);
     }
     match answer {
         CreditAnswer::Granted => CreditReply::granted(1),
         CreditAnswer::Refused(wait) => CreditReply::refused(wait),
-        CreditAnswer::Place(offer) => CreditReply::place(offer),
+        CreditAnswer::Reservation(offer) => CreditReply::place(offer),
         CreditAnswer::AskPool(_) => CreditReply::refused(Duration::ZERO),
     }
 }
 
 /// Counts what became of places.
-fn count_places(counts: PlaceCounts) {
+fn count_places(counts: ReservationCounts) {
     let outcomes = [
         ("given", counts.given),
         ("taken", counts.taken),
@@ -364,7 +368,7 @@
     }
 }
 
-async fn ask_pool(router: &Router, view: &ClusterView, team: &TeamName, wanted: u32) -> Option<PoolLoan> {
+async fn ask_pool(router: &Router, view: &ClusterView, team: &TeamName, wanted: u32) -> Option<PoolGrant> {
     let entry = find_pool(router, &view.lenders, team)?;
     let reply = if entry.node == router.settings.node {
         lend(router, view, team, wanted)
@@ -372,7 +376,7 @@
         let ask = CreditRequest::between_nodes(team.clone(), CreditAsk::Lend(wanted));
         call(router, entry, &ask, LEND_WITHIN).await?
     };
-    Some(PoolLoan { requests: reply.requests, wait: Duration::from_micros(reply.wait_us) })
+    Some(PoolGrant { requests: reply.requests, wait: Duration::from_micros(reply.wait_us) })
 }
 
 /// Lends from the pool of a team.
@@ -381,8 +385,8 @@
     note_lenders(router, view);
     let (now, mut pools) = (router.clock.now(), lock(&router.usage.pools));
     if !is_pool(router, &view.lenders, team) {
-        pools.stand_in(now, team);
+        pools.note_failover(now, team);
     }
-    let loan = pools.lend(now, team, limit, allowance(router, view), wanted);
+    let loan = pools.grant(now, team, limit, allowance(router, view), wanted);
     CreditReply { requests: loan.requests, ..CreditReply::refused(loan.wait) }
 }
