--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -10,7 +10,7 @@
 use streamfold_model::{CallerName, ConfigBundle, ConfigVersion, Incarnation};
 use streamfold_platform::PlatformClient;
 use streamfold_policy::{
-    AdaptiveRules, AdmissionGate, AttemptRules, BaselineRules, LatencyTrack, MemberEntry, MemberState, MemberTable,
+    AdaptiveRules, AdmissionGate, AttemptRules, BaselineRules, LatencyHistogram, MemberEntry, MemberState, MemberTable,
     MemberTimes, RateGate, TokenBudget,
 };
 use streamfold_store::{ConfigStore, ObjectStore, RequestClaims, VmList};
@@ -77,7 +77,7 @@
     gate: Mutex<AdmissionGate<AdmissionTag>>,
     claim_gate: Mutex<RateGate>,
     listed_seeds: Mutex<Vec<SocketAddr>>,
-    owner_replies: Mutex<(LatencyTrack, TokenBudget)>,
+    owner_replies: Mutex<(LatencyHistogram, TokenBudget)>,
     phase: watch::Sender<StopPhase>,
     pub(crate) work: Arc<AtomicUsize>,
     pub(crate) orders: Arc<AtomicUsize>,
@@ -152,7 +152,7 @@
             gate: Mutex::new(AdmissionGate::new(settings.policy == PolicyChoice::Adaptive)),
             claim_gate: Mutex::default(),
             listed_seeds: Mutex::default(),
-            owner_replies: Mutex::new((LatencyTrack::default(), TokenBudget::new(OWNER_HEDGE_RESERVE))),
+            owner_replies: Mutex::new((LatencyHistogram::default(), TokenBudget::new(OWNER_HEDGE_RESERVE))),
             phase: watch::Sender::new(StopPhase::Serving),
             work: Arc::default(),
             orders: Arc::default(),
@@ -223,7 +223,7 @@
         gate.take(self.clock.now(), rate).is_ok()
     }
 
-    fn owner_replies(&self) -> MutexGuard<'_, (LatencyTrack, TokenBudget)> {
+    fn owner_replies(&self) -> MutexGuard<'_, (LatencyHistogram, TokenBudget)> {
         self.owner_replies.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/daemon/src/pool.rs
+++ b/crates/daemon/src/pool.rs
@@ -129,13 +129,13 @@
         let now = self.clock.now();
         let mut queue = self.lock();
         let state = queue.server_mut(server);
-        state.learn_incarnation(now, report.incarnation);
-        state.learn_load(now, report.load);
+        state.record_incarnation(now, report.incarnation);
+        state.record_load(now, report.load);
         if report.draining {
             state.mark_leaving();
         }
         for (index, range) in report.indexes {
-            state.learn_versions(&index, range.into());
+            state.record_versions(&index, range.into());
         }
     }
 
@@ -276,16 +276,16 @@
         let mut queue = self.lock();
         let state = queue.server_mut(server);
         if let Some(incarnation) = read_header(fields, headers::INCARNATION) {
-            state.learn_incarnation(now, incarnation);
+            state.record_incarnation(now, incarnation);
         }
         if let Some(load) = read_header(fields, headers::LOAD) {
-            state.learn_load(now, load);
+            state.record_load(now, load);
         }
         if fields.get(headers::DRAINING).is_some_and(|draining| draining.as_bytes() == b"true") {
             state.mark_leaving();
         }
         if let Some(held) = read_held(fields) {
-            state.learn_versions(index, held);
+            state.record_versions(index, held);
         }
     }
 }
--- a/crates/policy/src/cold_limit.rs
+++ b/crates/policy/src/cold_limit.rs
@@ -42,7 +42,7 @@
 
 /// Calls a second that a node may make to a cold server, where `owners` are the names of the nodes
 /// among which the bound is dealt. Where it does not go up, the first by weight have one more.
-pub fn deal_calls<'a>(bound: ColdBound, owners: &'a [&'a str], node: &str, server: &str) -> u32 {
+pub fn cold_call_quota<'a>(bound: ColdBound, owners: &'a [&'a str], node: &str, server: &str) -> u32 {
     if !owners.contains(&node) {
         return 0;
     }
@@ -60,18 +60,18 @@
 impl ColdCalls {
     /// Whether one more call fits, where `most` a second are this node's part; moments count from the
     /// start of the node.
-    pub fn has_room(&self, now: Moment, most: u32) -> bool {
+    pub fn has_capacity(&self, now: Moment, most: u32) -> bool {
         let recent = self.made.iter().filter(|made| now.since(**made) < COUNT_WINDOW).count();
         now >= Moment::default().plus(LEAST_UPTIME) && recent < most as usize
     }
 
     /// Takes one call if it fits.
     pub fn take(&mut self, now: Moment, most: u32) -> bool {
-        let has_room = self.has_room(now, most);
-        if has_room {
+        let has_capacity = self.has_capacity(now, most);
+        if has_capacity {
             self.made.retain(|made| now.since(*made) < COUNT_WINDOW);
             self.made.push_back(now);
         }
-        has_room
+        has_capacity
     }
 }
--- a/crates/policy/src/server_outlook.rs
+++ b/crates/policy/src/finish_estimate.rs
@@ -13,45 +13,45 @@
 
 /// When a server is expected to have answered a call that goes to it now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ServerOutlook {
+pub struct ServerEstimate {
     /// The earliest by what is known.
     pub finish: Duration,
     /// How many observations support that: an answer that told of it, a call that was not answered.
-    pub evidence: u32,
+    pub observations: u32,
 }
 
-impl ServerOutlook {
+impl ServerEstimate {
     /// That of a server of which nothing is known: it is expected in time.
-    pub const UNKNOWN: Self = Self { finish: Duration::ZERO, evidence: 0 };
+    pub const UNKNOWN: Self = Self { finish: Duration::ZERO, observations: 0 };
 
     /// Whether it holds without any one observation.
-    pub fn is_solid(self) -> bool {
-        self.evidence >= SOLID_EVIDENCE
+    pub fn is_confirmed(self) -> bool {
+        self.observations >= SOLID_EVIDENCE
     }
 }
 
 /// What is known of when a server answers.
-pub trait FinishOutlook {
+pub trait FinishEstimator {
     /// When a call that goes to it now is expected to be answered, where such calls usually take `typical` and
     /// servers stay slow for `spell`.
-    fn outlook(&self, now: Moment, typical: Duration, spell: Duration) -> ServerOutlook;
+    fn estimate_finish(&self, now: Moment, typical: Duration, spell: Duration) -> ServerEstimate;
 }
 
 /// When a shard is expected to have answered: as soon as its best server has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ShardOutlook {
+pub struct ShardEstimate {
     /// The earliest; none where no server may be asked.
     pub finish: Option<Duration>,
     /// Whether that holds without any one observation.
-    pub is_solid: bool,
+    pub is_confirmed: bool,
 }
 
-impl ShardOutlook {
+impl ShardEstimate {
     /// That of a shard with some servers, of which no further one is looked at once one is expected within a time.
-    pub fn of(servers: impl Iterator<Item = ServerOutlook>, within: Duration) -> Self {
-        let mut shard = Self { finish: None, is_solid: true };
+    pub fn of(servers: impl Iterator<Item = ServerEstimate>, within: Duration) -> Self {
+        let mut shard = Self { finish: None, is_confirmed: true };
         for server in servers {
-            shard.is_solid &= server.is_solid();
+            shard.is_confirmed &= server.is_confirmed();
             shard.finish = Some(shard.finish.map_or(server.finish, |finish| finish.min(server.finish)));
             if server.finish <= within {
                 break;
@@ -63,9 +63,9 @@
 
 /// When `needed` of some shards are expected to have answered, whichever observation is left out; none where too few
 /// have a server at all.
-pub fn expect_answers(shards: &[ShardOutlook], needed: usize) -> Option<Duration> {
+pub fn estimate_answers(shards: &[ShardEstimate], needed: usize) -> Option<Duration> {
     let mut finishes: Vec<Duration> = shards.iter().filter_map(|shard| shard.finish).collect();
-    let fragile = shards.iter().filter(|shard| !shard.is_solid).filter_map(|shard| shard.finish).max();
+    let fragile = shards.iter().filter(|shard| !shard.is_confirmed).filter_map(|shard| shard.finish).max();
     finishes.sort_unstable();
     let last = *finishes.get(needed.checked_sub(1)?)?;
     // Without one observation, the shard that it is of may be in time, and each other one is needed a place earlier.
--- a/crates/policy/src/server_room.rs
+++ b/crates/policy/src/inflight_limit.rs
@@ -16,14 +16,14 @@
 
 /// What others had at a server when it last told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OthersLoad {
+pub struct PeerLoad {
     /// Their requests, running and waiting.
     pub requests: u32,
     /// When it told.
     pub told: Moment,
 }
 
-impl OthersLoad {
+impl PeerLoad {
     /// What others have there, where a server tells of so many requests and so many of them are this node's.
     pub fn learn(now: Moment, requests: u32, own: u32) -> Self {
         Self { requests: requests.saturating_sub(own), told: now }
@@ -37,7 +37,7 @@
 
 /// How many calls this node may have out at a server with so many slots; always one at least, so that what was told
 /// wrongly, or long ago, shuts nobody out.
-pub fn server_room(now: Moment, slots: u32, others: Option<OthersLoad>) -> u32 {
+pub fn inflight_limit(now: Moment, slots: u32, others: Option<PeerLoad>) -> u32 {
     let others = others.map_or(0, |others| others.left(now));
     slots.saturating_add(LEAD).saturating_sub(others).max(1)
 }
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -11,18 +11,18 @@
 
 /// A fading histogram of latencies.
 #[derive(Debug, Clone)]
-pub struct LatencyTrack {
+pub struct LatencyHistogram {
     counts: Vec<u32>,
     total: u32,
 }
 
-impl Default for LatencyTrack {
+impl Default for LatencyHistogram {
     fn default() -> Self {
         Self { counts: vec![0; BUCKETS], total: 0 }
     }
 }
 
-impl LatencyTrack {
+impl LatencyHistogram {
     /// Adds a sample.
     pub fn add(&mut self, latency: Duration) {
         let doublings = (latency.as_micros() as f64 / FIRST_BUCKET_US).max(1.0).log2();
--- a/crates/policy/src/work_pace.rs
+++ b/crates/policy/src/pace_estimate.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crate::moment::Moment;
-use crate::pace::SpellSample;
+use crate::reported_pace::SlowPeriodSample;
 
 /// A call that takes so many times as long as it should is far slower than the spread of work explains.
 const FAR_SLOWER: f64 = 3.0;
@@ -61,7 +61,7 @@
 
 /// The pace of one server as calls have shown it. Paces are kept as logarithms, so that twice and half weigh alike.
 #[derive(Debug, Clone, Copy)]
-pub struct WorkPace {
+pub struct PaceEstimate {
     /// The lasting pace, and how many answers it rests on.
     steady: f64,
     weight: f64,
@@ -78,7 +78,7 @@
     told: Option<ToldPace>,
 }
 
-impl Default for WorkPace {
+impl Default for PaceEstimate {
     fn default() -> Self {
         Self {
             steady: 0.0,
@@ -98,7 +98,7 @@
     0.5f64.powf(age.as_secs_f64() / half_life.as_secs_f64().max(1e-3))
 }
 
-impl WorkPace {
+impl PaceEstimate {
     /// Notes how long a call took that was answered; `spell` is how long servers stay slow.
     pub fn learn(&mut self, now: Moment, sample: WorkSample, spell: Duration) {
         let ratio = bounded(sample.ratio);
@@ -206,9 +206,9 @@
     }
 
     /// How a spell of slowness went on that is known of, where a call shows such a ratio now.
-    pub fn follow_spell(&self, now: Moment, ratio: f64) -> Option<SpellSample> {
+    pub fn follow_spell(&self, now: Moment, ratio: f64) -> Option<SlowPeriodSample> {
         let since = self.sampled.filter(|_| self.is_confirmed)?;
-        Some(SpellSample { span: now.since(since), is_on: ratio >= FAR_SLOWER })
+        Some(SlowPeriodSample { span: now.since(since), is_slow: ratio >= FAR_SLOWER })
     }
 
     /// When a call last showed something.
--- a/crates/policy/src/pin.rs
+++ b/crates/policy/src/pin.rs
@@ -16,7 +16,7 @@
 impl HeldVersions {
     /// Folds in a later report. Versions only advance, so neither end goes back, and a
     /// report that comes late does no harm.
-    pub fn learn(&mut self, report: Self) {
+    pub fn merge(&mut self, report: Self) {
         self.oldest = self.oldest.max(report.oldest);
         self.newest = self.newest.max(report.newest);
     }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -9,7 +9,7 @@
 
 use crate::budget::TokenBudget;
 use crate::hedge::HedgeRule;
-use crate::latency::LatencyTrack;
+use crate::latency::LatencyHistogram;
 use crate::moment::Moment;
 use crate::pin::HeldVersions;
 use crate::retry::RetryBudget;
@@ -70,7 +70,7 @@
     servers: Vec<ServerState>,
     /// The earliest deadline first.
     waiting: WaitLine<Moment, QueuedWork<T>>,
-    track: LatencyTrack,
+    track: LatencyHistogram,
     hedging: Box<dyn HedgeRule>,
     hedges: TokenBudget,
     retries: RetryBudget,
@@ -85,7 +85,7 @@
             rules,
             servers,
             waiting: WaitLine::default(),
-            track: LatencyTrack::default(),
+            track: LatencyHistogram::default(),
             hedging,
             hedges: TokenBudget::new(HEDGE_RESERVE),
             retries,
@@ -177,7 +177,7 @@
             let missing = item.version.is_some_and(|version| {
                 server.has_dropped(&item.index, version) || server.lags_behind(&item.index, version)
             });
-            index != first && !server.is_leaving() && !server.is_resting(now) && !missing
+            index != first && !server.is_leaving() && !server.is_backing_off(now) && !missing
         };
         let other = self.rules.pick(&self.servers, &allowed, now, dice)?;
         let server = self.better_hedge(now, first, other);
--- a/crates/policy/src/recent_work.rs
+++ b/crates/policy/src/recent_work.rs
@@ -11,7 +11,7 @@
 
 /// How long after its end a call may still be what ended the server: processes end some 100 ms after a call began,
 /// and the node learns of it a way later.
-pub const LATELY: Duration = Duration::from_millis(200);
+pub const RECENT_WINDOW: Duration = Duration::from_millis(200);
 /// Calls remembered after their end; a server has a few slots, and works on a call for milliseconds.
 const MAX_ENDED: usize = 16;
 
@@ -50,7 +50,7 @@
     /// What it works on, or worked on lately without an answer, each once. Left out is what it has lived
     /// through before: a content that many ask for is under way whenever a server ends.
     pub fn suspects(&self, now: Moment) -> Vec<CrashSuspect> {
-        let is_lately = |ended: &&EndedWork| !ended.is_answered && now.since(ended.at) <= LATELY;
+        let is_lately = |ended: &&EndedWork| !ended.is_answered && now.since(ended.at) <= RECENT_WINDOW;
         let lately = self.ended.iter().filter(is_lately).map(|ended| ended.suspect);
         let mut suspects: Vec<CrashSuspect> = self.running.iter().copied().chain(lately).collect();
         suspects.sort_unstable();
--- a/crates/policy/src/replica.rs
+++ b/crates/policy/src/replica.rs
@@ -4,10 +4,10 @@
 
 use crate::mechanism::{Mechanism, MechanismSet};
 use crate::moment::Moment;
-use crate::pace::{PaceBelief, SpellSample};
-use crate::server_outlook::{FinishOutlook, ServerOutlook};
-use crate::server_room::{OthersLoad, server_room};
-use crate::work_pace::{WorkPace, WorkSample};
+use crate::reported_pace::{ReportedPace, SlowPeriodSample};
+use crate::finish_estimate::{FinishEstimator, ServerEstimate};
+use crate::inflight_limit::{PeerLoad, inflight_limit};
+use crate::pace_estimate::{PaceEstimate, WorkSample};
 
 /// What is remembered of refusals and failures fades by half in this time without a new call.
 const REFUSAL_HALF_LIFE: Duration = Duration::from_secs(2);
@@ -98,9 +98,9 @@
     answered: Moment,
     resting_until: Moment,
     load: Option<(f64, Moment)>,
-    others: Option<OthersLoad>,
-    pace: PaceBelief,
-    work: WorkPace,
+    others: Option<PeerLoad>,
+    pace: ReportedPace,
+    work: PaceEstimate,
     /// Whether its service has enough servers to choose among them by their measured pace.
     is_compared: bool,
     mechanisms: MechanismSet,
@@ -122,15 +122,15 @@
             resting_until: Moment::default(),
             load: None,
             others: None,
-            pace: PaceBelief::default(),
-            work: WorkPace::default(),
+            pace: ReportedPace::default(),
+            work: PaceEstimate::default(),
             is_compared: false,
             mechanisms: MechanismSet::default(),
         }
     }
 
     /// The same, judged by some mechanisms only.
-    pub fn with(self, mechanisms: MechanismSet) -> Self {
+    pub fn with_mechanisms(self, mechanisms: MechanismSet) -> Self {
         Self { mechanisms, ..self }
     }
 
@@ -140,7 +140,7 @@
     }
 
     /// Sets whether its service has enough servers to choose among them by their measured pace.
-    pub fn set_compared(&mut self, is_compared: bool) {
+    pub fn set_comparable(&mut self, is_compared: bool) {
         self.is_compared = is_compared;
     }
 
@@ -172,7 +172,7 @@
     }
 
     /// Notes the pace that another node measured some time ago.
-    pub fn learn_measured(&mut self, now: Moment, pace: f64, age: Duration) {
+    pub fn record_peer_pace(&mut self, now: Moment, pace: f64, age: Duration) {
         if self.is_measured() {
             self.work.learn_told(now, pace, age);
         }
@@ -185,12 +185,12 @@
 
     /// Notes how many times as long as usual work takes there by its own word; what became of its slow
     /// spell, if it was in one.
-    pub fn learn_pace(&mut self, now: Moment, pace: f64) -> Option<SpellSample> {
+    pub fn record_reported_pace(&mut self, now: Moment, pace: f64) -> Option<SlowPeriodSample> {
         self.pace.learn(now, pace)
     }
 
     /// Notes that it stays cold for a time from now on; a warm server may go cold again.
-    pub fn learn_cold(&mut self, now: Moment, left: Duration) {
+    pub fn record_warmup(&mut self, now: Moment, left: Duration) {
         if !left.is_zero() {
             self.warm_at = now.plus(left);
         }
@@ -213,8 +213,8 @@
     }
 
     /// Whether this node may have one more call out there, where calls wait at the node.
-    pub fn has_room(&self, now: Moment) -> bool {
-        self.running() < server_room(now, self.slots, self.others)
+    pub fn has_capacity(&self, now: Moment) -> bool {
+        self.running() < inflight_limit(now, self.slots, self.others)
     }
 
     /// Work that it runs or holds waiting.
@@ -275,7 +275,7 @@
     }
 
     /// Learns from how long a call took that ended; what became of the slow spell that was known of.
-    fn measure(&mut self, now: Moment, call: OpenCall, sample: CallSample, spell: Duration) -> Option<SpellSample> {
+    fn measure(&mut self, now: Moment, call: OpenCall, sample: CallSample, spell: Duration) -> Option<SlowPeriodSample> {
         let usual = call.usual.filter(|usual| !usual.is_zero())?;
         let ratio = now.since(call.started).as_secs_f64() / usual.as_secs_f64();
         let work = WorkSample { started: call.started, ratio, has_waited: call.has_waited };
@@ -321,7 +321,7 @@
         started: Moment,
         sample: CallSample,
         spell: Duration,
-    ) -> Option<SpellSample> {
+    ) -> Option<SlowPeriodSample> {
         let call = self.calls.iter().find(|open| open.started == started).copied();
         self.finish(now, started, sample);
         self.measure(now, call?, sample, spell)
@@ -365,11 +365,11 @@
     }
 
     /// Notes the load it told: requests it runs and holds waiting, from everybody.
-    pub fn learn_load(&mut self, now: Moment, running: u32, waiting: u32) {
+    pub fn record_load(&mut self, now: Moment, running: u32, waiting: u32) {
         if self.mechanisms.has(Mechanism::ToldLoad) {
             let requests = running.saturating_add(waiting);
             self.load = Some((f64::from(requests), now));
-            self.others = Some(OthersLoad::learn(now, requests, self.running()));
+            self.others = Some(PeerLoad::learn(now, requests, self.running()));
         }
     }
 }
@@ -385,8 +385,8 @@
     }
 }
 
-impl FinishOutlook for ReplicaState {
-    fn outlook(&self, now: Moment, typical: Duration, spell: Duration) -> ServerOutlook {
+impl FinishEstimator for ReplicaState {
+    fn estimate_finish(&self, now: Moment, typical: Duration, spell: Duration) -> ServerEstimate {
         let work = typical.mul_f64(self.slowness(now, spell));
         let told = self.load.filter(|(_, told)| now.since(*told) < LOAD_LIFE);
         // What waited when it was told has been worked on since.
@@ -400,9 +400,9 @@
         let silences = self.silences + self.failures;
         // One that fell silent says nothing of its pace; what it said before may be over by the time it is back.
         match silent.is_zero() {
-            true if !is_slow => ServerOutlook::UNKNOWN,
-            true => ServerOutlook { finish: work + queued, evidence: 1 },
-            false => ServerOutlook { finish: silent, evidence: silences },
+            true if !is_slow => ServerEstimate::UNKNOWN,
+            true => ServerEstimate { finish: work + queued, observations: 1 },
+            false => ServerEstimate { finish: silent, observations: silences },
         }
     }
 }
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/reported_pace.rs
@@ -19,26 +19,26 @@
 
 /// What a server told of its pace last.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct PaceBelief {
+pub struct ReportedPace {
     /// How many times as long as usual work takes, and when that was told.
     told: Option<(f64, Moment)>,
 }
 
 /// How a spell of slowness went on between two words of a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct SpellSample {
+pub struct SlowPeriodSample {
     /// The time between them.
     pub span: Duration,
     /// Whether the server was still slow.
-    pub is_on: bool,
+    pub is_slow: bool,
 }
 
-impl PaceBelief {
+impl ReportedPace {
     /// Notes what the server told; what became of its slow spell, if it was in one.
-    pub fn learn(&mut self, now: Moment, pace: f64) -> Option<SpellSample> {
+    pub fn learn(&mut self, now: Moment, pace: f64) -> Option<SlowPeriodSample> {
         let before = self.told.replace((pace, now));
         let (_, since) = before.filter(|(before, _)| *before >= SLOW)?;
-        Some(SpellSample { span: now.since(since), is_on: pace >= SLOW })
+        Some(SlowPeriodSample { span: now.since(since), is_slow: pace >= SLOW })
     }
 
     /// How many times as long as usual work is expected to take, at least 1. What was told fades with its
@@ -53,29 +53,29 @@
 
 /// How long slow spells last, as one node has seen it of all servers.
 #[derive(Debug, Clone, Copy)]
-pub struct SpellRecord {
+pub struct SlowPeriodStats {
     /// Spells that were seen to end.
     ended: f64,
     /// Seconds for which servers were seen to be slow.
     slow_s: f64,
 }
 
-impl Default for SpellRecord {
+impl Default for SlowPeriodStats {
     fn default() -> Self {
         Self { ended: ASSUMED_SPELLS, slow_s: ASSUMED_SPELLS }
     }
 }
 
-impl SpellRecord {
+impl SlowPeriodStats {
     /// Notes how a spell went on. One that ended between two words did so in the middle on average.
-    pub fn note(&mut self, sample: SpellSample) {
+    pub fn add(&mut self, sample: SlowPeriodSample) {
         let span = sample.span.as_secs_f64();
-        self.ended = self.ended * KEPT_SHARE + if sample.is_on { 0.0 } else { 1.0 };
-        self.slow_s = self.slow_s * KEPT_SHARE + if sample.is_on { span } else { span / 2.0 };
+        self.ended = self.ended * KEPT_SHARE + if sample.is_slow { 0.0 } else { 1.0 };
+        self.slow_s = self.slow_s * KEPT_SHARE + if sample.is_slow { span } else { span / 2.0 };
     }
 
     /// How long a spell lasts on average.
-    pub fn spell(&self) -> Duration {
+    pub fn mean(&self) -> Duration {
         Duration::from_secs_f64((self.slow_s / self.ended.max(1e-3)).clamp(1e-3, 60.0))
     }
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -6,7 +6,7 @@
 use streamfold_model::AttemptOutcome;
 
 use crate::budget::TokenBudget;
-use crate::latency::LatencyTrack;
+use crate::latency::LatencyHistogram;
 
 /// How freely work is tried again.
 #[derive(Debug, Clone, Copy)]
@@ -47,7 +47,7 @@
 
     /// Whether to try again after `tries` attempts, the last of which ended in `outcome`,
     /// with `left` until the deadline. Spends from the budget.
-    pub fn may_retry(&mut self, outcome: AttemptOutcome, track: &LatencyTrack, left: Duration, tries: u32) -> bool {
+    pub fn may_retry(&mut self, outcome: AttemptOutcome, track: &LatencyHistogram, left: Duration, tries: u32) -> bool {
         let has_time = track.quantile(TYPICAL_QUANTILE).map_or(!left.is_zero(), |typical| typical < left);
         if tries >= self.rates.tries || !has_time {
             return false;
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -72,10 +72,10 @@
         now: Moment,
         dice: &mut dyn RngCore,
     ) -> Option<usize> {
-        let resting = servers.iter().filter(|server| server.is_resting(now)).count();
+        let resting = servers.iter().filter(|server| server.is_backing_off(now)).count();
         let may_rest = resting as f64 <= servers.len() as f64 * MAX_RESTING_SHARE;
         let usable = |(index, server): &(usize, &ServerState)| {
-            server.has_slot() && !(may_rest && server.is_resting(now)) && allowed(*index, server)
+            server.has_slot() && !(may_rest && server.is_backing_off(now)) && allowed(*index, server)
         };
         let free: Vec<usize> = servers.iter().enumerate().filter(usable).map(|(index, _)| index).collect();
         match free.len() {
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -141,7 +141,7 @@
     }
 
     /// Whether it is to get no work because it failed lately; after the rest one probe may go.
-    pub fn is_resting(&self, now: Moment) -> bool {
+    pub fn is_backing_off(&self, now: Moment) -> bool {
         match self.resting_until {
             Some(until) if now < until => true,
             Some(_) => self.probing,
@@ -226,7 +226,7 @@
 
     /// Notes which run of the server process answered. A new run starts from one call at a
     /// time, and is the only thing that ends a leaving mark.
-    pub fn learn_incarnation(&mut self, now: Moment, incarnation: u64) {
+    pub fn record_incarnation(&mut self, now: Moment, incarnation: u64) {
         let known = self.incarnation.replace(incarnation);
         if known.is_some_and(|known| known != incarnation) {
             self.limit = 1.0;
@@ -243,14 +243,14 @@
     }
 
     /// Notes a load report, 0 to 1.
-    pub fn learn_load(&mut self, now: Moment, load: f64) {
+    pub fn record_load(&mut self, now: Moment, load: f64) {
         self.load = Some((load.clamp(0.0, 1.0), now));
     }
 
     /// Notes the versions it says it holds.
-    pub fn learn_versions(&mut self, index: &IndexName, report: HeldVersions) {
+    pub fn record_versions(&mut self, index: &IndexName, report: HeldVersions) {
         match self.versions.get_mut(index) {
-            Some(held) => held.learn(report),
+            Some(held) => held.merge(report),
             None => {
                 self.versions.insert(index.clone(), report);
             }
--- a/crates/policy/src/server_bound.rs
+++ b/crates/policy/src/server_bound.rs
@@ -7,22 +7,22 @@
 
 /// Which servers of a service one of the nodes of a request may send it to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ServerRights<S> {
+pub enum SendPermission<S> {
     /// Any: no other node sends it.
     Any,
     /// This node was asked: any, but a place is kept for the server that the asking node may use
     /// as well.
-    Lent {
+    Delegated {
         /// That server; none if the asking node keeps no place.
-        kept: Option<S>,
+        reserved: Option<S>,
     },
     /// Another node was asked and may still send it to any: only to the server kept.
-    Kept(S),
+    Reserved(S),
     /// Another node was asked and no server was kept.
     NoServer,
 }
 
-impl<S: PartialEq> ServerRights<S> {
+impl<S: PartialEq> SendPermission<S> {
     /// Whether it may go to a server, where `used` are the servers that may have run it by calls of
     /// this node, and it may run on `most`.
     pub fn allow<'a>(&self, server: &S, used: impl Iterator<Item = &'a S>, most: usize) -> bool
@@ -31,10 +31,10 @@
     {
         let others = used.filter(|used| *used != server);
         match self {
-            Self::Any | Self::Lent { kept: None } => others.count() < most,
-            Self::Lent { kept: Some(kept) } if kept == server => others.count() < most,
-            Self::Lent { kept: Some(kept) } => others.filter(|used| *used != kept).count() + 1 < most,
-            Self::Kept(kept) => kept == server && most > 0,
+            Self::Any | Self::Delegated { reserved: None } => others.count() < most,
+            Self::Delegated { reserved: Some(reserved) } if reserved == server => others.count() < most,
+            Self::Delegated { reserved: Some(reserved) } => others.filter(|used| *used != reserved).count() + 1 < most,
+            Self::Reserved(reserved) => reserved == server && most > 0,
             Self::NoServer => false,
         }
     }
--- a/crates/policy/src/server_scope.rs
+++ b/crates/policy/src/server_exclusion.rs
@@ -11,7 +11,7 @@
 
 /// Why a server gets no new request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ServerBar {
+pub enum ServerExclusion {
     /// It is leaving.
     Leaving,
     /// The operator has evacuated its failure domain.
@@ -24,7 +24,7 @@
     OutsideHomes,
 }
 
-impl fmt::Display for ServerBar {
+impl fmt::Display for ServerExclusion {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Leaving => "leaving",
@@ -38,7 +38,7 @@
 
 /// How a server stands to new requests.
 #[derive(Debug, Clone, Copy)]
-pub struct ServerStanding<'a> {
+pub struct ServerConditions<'a> {
     /// Whether it is leaving.
     pub is_leaving: bool,
     /// Whether its failure domain is evacuated.
@@ -46,24 +46,24 @@
     /// Whether its failure domain is taken for dark.
     pub is_unreachable: bool,
     /// Whether it is cold and this node may make no call to it now.
-    pub is_cold_spent: bool,
+    pub is_cold_limit_reached: bool,
     /// Its region, if that is known.
     pub region: Option<&'a RegionName>,
 }
 
 /// What keeps requests with these homes from a server, if anything does.
-pub fn find_bar(homes: &HomeRegions, standing: ServerStanding<'_>) -> Option<ServerBar> {
+pub fn find_exclusion(homes: &HomeRegions, standing: ServerConditions<'_>) -> Option<ServerExclusion> {
     if standing.is_leaving {
-        return Some(ServerBar::Leaving);
+        return Some(ServerExclusion::Leaving);
     }
     if standing.is_evacuated {
-        return Some(ServerBar::Evacuated);
+        return Some(ServerExclusion::Evacuated);
     }
     if !homes.allow(standing.region) {
-        return Some(ServerBar::OutsideHomes);
+        return Some(ServerExclusion::OutsideHomes);
     }
     if standing.is_unreachable {
-        return Some(ServerBar::Unreachable);
+        return Some(ServerExclusion::Unreachable);
     }
-    standing.is_cold_spent.then_some(ServerBar::ColdLimit)
+    standing.is_cold_limit_reached.then_some(ServerExclusion::ColdLimit)
 }
--- a/crates/policy/tests/cold_limit.rs
+++ b/crates/policy/tests/cold_limit.rs
@@ -4,7 +4,7 @@
 
 use quickcheck::quickcheck;
 use streamfold_policy::Moment;
-use streamfold_policy::cold_limit::{ColdBound, ColdCalls, deal_calls};
+use streamfold_policy::cold_limit::{ColdBound, ColdCalls, cold_call_quota};
 
 fn at(millis: u64) -> Moment {
     Moment::default().plus(Duration::from_millis(millis))
@@ -15,9 +15,9 @@
         let bound = ColdBound { rate: f64::from(rate) / 4.0, excess: 1.5, allowance: f64::from(allowance) / 8.0 };
         let names: Vec<String> = (0..owners).map(|number| format!("node-{number}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
-        let dealt: u32 = names.iter().map(|name| deal_calls(bound, &names, name, &server)).sum();
+        let dealt: u32 = names.iter().map(|name| cold_call_quota(bound, &names, name, &server)).sum();
         let is_dealt_out = names.is_empty() || f64::from(dealt) > bound.total() * 0.8 - 1.0;
-        f64::from(dealt) <= bound.total() && is_dealt_out && deal_calls(bound, &names, "elsewhere", &server) == 0
+        f64::from(dealt) <= bound.total() && is_dealt_out && cold_call_quota(bound, &names, "elsewhere", &server) == 0
     }
 
     /// Callers that ask at any moments get no more than their part in any second.
--- a/crates/policy/tests/entry_gate.rs
+++ b/crates/policy/tests/entry_gate.rs
@@ -7,7 +7,7 @@
 use streamfold_policy::Moment;
 use streamfold_policy::entry_gate::{EntryAsk, EntryGate, EntryRule, EntryStep, OpenGate};
 use streamfold_policy::replica::{CallSample, ReplicaState};
-use streamfold_policy::server_outlook::{FinishOutlook, ServerOutlook, ShardOutlook, expect_answers};
+use streamfold_policy::finish_estimate::{FinishEstimator, ServerEstimate, ShardEstimate, estimate_answers};
 
 /// What a call takes at a server of the usual pace.
 const WORK: Duration = Duration::from_millis(20);
@@ -61,9 +61,9 @@
         self.open = open;
         for (begun, end) in ended {
             self.belief.finish(end, begun, CallSample::Answered);
-            self.belief.learn_pace(end, self.pace);
+            self.belief.record_reported_pace(end, self.pace);
             let left = self.open.iter().filter(|(begun, _)| *begun <= end).count() as u32;
-            self.belief.learn_load(end, left.min(SLOTS), left.saturating_sub(SLOTS));
+            self.belief.record_load(end, left.min(SLOTS), left.saturating_sub(SLOTS));
         }
     }
 }
@@ -101,9 +101,9 @@
 
     fn expected(&self, now: Moment) -> Option<Duration> {
         let outlook = |shard: &Vec<ModelServer>| {
-            ShardOutlook::of(shard.iter().map(|server| server.belief.outlook(now, WORK, SPELL)), self.left)
+            ShardEstimate::of(shard.iter().map(|server| server.belief.estimate_finish(now, WORK, SPELL)), self.left)
         };
-        expect_answers(&self.shards.iter().map(outlook).collect::<Vec<_>>(), self.needed)
+        estimate_answers(&self.shards.iter().map(outlook).collect::<Vec<_>>(), self.needed)
     }
 
     fn request(&mut self, now: Moment, gate: &mut dyn EntryRule, tally: &mut Tally) {
@@ -188,10 +188,10 @@
         now = now.plus(ms(60));
         belief.note_overdue(now, begun);
         belief.finish(now, begun, CallSample::Abandoned);
-        let outlook = belief.outlook(now, WORK, SPELL);
-        told.push(format!("{:?} words {}", outlook.finish, outlook.evidence));
+        let outlook = belief.estimate_finish(now, WORK, SPELL);
+        told.push(format!("{:?} words {}", outlook.finish, outlook.observations));
         now = now.plus(outlook.finish);
-        assert_eq!(belief.outlook(now, WORK, SPELL), ServerOutlook::UNKNOWN);
+        assert_eq!(belief.estimate_finish(now, WORK, SPELL), ServerEstimate::UNKNOWN);
     }
     insta::assert_snapshot!(told.join("\n"));
 }
@@ -205,14 +205,14 @@
         belief.finish(now, now, CallSample::Failed);
     }
     assert!(belief.is_avoided(now));
-    assert_eq!(belief.outlook(now, WORK, SPELL), ServerOutlook::UNKNOWN);
+    assert_eq!(belief.estimate_finish(now, WORK, SPELL), ServerEstimate::UNKNOWN);
     let later = now.plus(ms(3_000));
     belief.note_overdue(later, later);
     let later = later.plus(ms(600));
     belief.finish(later, later, CallSample::Failed);
-    assert_eq!(belief.outlook(later, WORK, SPELL), ServerOutlook { finish: ms(2_000), evidence: 7 });
+    assert_eq!(belief.estimate_finish(later, WORK, SPELL), ServerEstimate { finish: ms(2_000), observations: 7 });
     belief.finish(later, later, CallSample::Answered);
-    assert_eq!(belief.outlook(later, WORK, SPELL), ServerOutlook::UNKNOWN);
+    assert_eq!(belief.estimate_finish(later, WORK, SPELL), ServerEstimate::UNKNOWN);
 }
 
 #[test]
@@ -226,17 +226,17 @@
 }
 
 /// Outlooks from small numbers: each server's finish in tens of milliseconds and its words.
-fn outlooks(shards: &[Vec<(u8, u8)>]) -> Vec<Vec<ServerOutlook>> {
-    let server = |(finish, words): &(u8, u8)| ServerOutlook {
+fn outlooks(shards: &[Vec<(u8, u8)>]) -> Vec<Vec<ServerEstimate>> {
+    let server = |(finish, words): &(u8, u8)| ServerEstimate {
         finish: ms(u64::from(*finish) * 10 * u64::from(*words % 4 > 0)),
-        evidence: u32::from(*words % 4),
+        observations: u32::from(*words % 4),
     };
     shards.iter().map(|servers| servers.iter().map(server).collect()).collect()
 }
 
-fn is_hopeless(servers: &[Vec<ServerOutlook>], needed: usize, left: Duration) -> bool {
-    let shards: Vec<ShardOutlook> = servers.iter().map(|shard| ShardOutlook::of(shard.iter().copied(), left)).collect();
-    expect_answers(&shards, needed).is_some_and(|expected| expected > left)
+fn is_hopeless(servers: &[Vec<ServerEstimate>], needed: usize, left: Duration) -> bool {
+    let shards: Vec<ShardEstimate> = servers.iter().map(|shard| ShardEstimate::of(shard.iter().copied(), left)).collect();
+    estimate_answers(&shards, needed).is_some_and(|expected| expected > left)
 }
 
 quickcheck! {
@@ -255,12 +255,12 @@
             for server in 0..servers[shard].len() {
                 let mut others = servers.clone();
                 let known = others[shard][server];
-                others[shard][server] = match known.evidence {
-                    0 | 1 => ServerOutlook::UNKNOWN,
-                    words => ServerOutlook { evidence: words - 1, ..known },
+                others[shard][server] = match known.observations {
+                    0 | 1 => ServerEstimate::UNKNOWN,
+                    words => ServerEstimate { observations: words - 1, ..known },
                 };
-                let shards: Vec<ShardOutlook> =
-                    others.iter().map(|shard| ShardOutlook::of(shard.iter().copied(), left)).collect();
+                let shards: Vec<ShardEstimate> =
+                    others.iter().map(|shard| ShardEstimate::of(shard.iter().copied(), left)).collect();
                 let mut finishes: Vec<Duration> = shards.iter().filter_map(|shard| shard.finish).collect();
                 finishes.sort_unstable();
                 holds &= finishes.get(needed - 1).is_some_and(|finish| *finish > left);
--- a/crates/policy/tests/server_room.rs
+++ b/crates/policy/tests/inflight_limit.rs
@@ -4,7 +4,7 @@
 
 use quickcheck::quickcheck;
 use streamfold_policy::Moment;
-use streamfold_policy::server_room::{OthersLoad, server_room};
+use streamfold_policy::inflight_limit::{PeerLoad, inflight_limit};
 
 const SLOTS: u32 = 2;
 const STEP_US: u64 = 500;
@@ -20,7 +20,7 @@
     running: Vec<(u64, usize)>,
     answers: Vec<(u64, usize, u32)>,
     out: Vec<u32>,
-    told: Vec<Option<OthersLoad>>,
+    told: Vec<Option<PeerLoad>>,
     waiting: Vec<u32>,
     idle: u64,
     wanted: u64,
@@ -44,7 +44,7 @@
 
     fn send(&mut self) {
         for node in 0..self.waiting.len() {
-            while self.waiting[node] > 0 && self.out[node] < server_room(self.now, SLOTS, self.told[node]) {
+            while self.waiting[node] > 0 && self.out[node] < inflight_limit(self.now, SLOTS, self.told[node]) {
                 self.waiting[node] -= 1;
                 self.out[node] += 1;
                 self.coming.push((self.now.0 + WAY_US, node));
@@ -69,7 +69,7 @@
         let (here, later) = answers.into_iter().partition(|(at, _, _)| *at <= now.0);
         self.answers = later;
         for (_, node, load) in here {
-            self.told[node] = Some(OthersLoad::learn(now, load, self.out[node]));
+            self.told[node] = Some(PeerLoad::learn(now, load, self.out[node]));
             self.out[node] -= 1;
         }
     }
@@ -129,16 +129,16 @@
         slots: u8, requests: u16, own: u16, age_ms: u16
     ) -> bool {
         let slots = u32::from(slots.max(1));
-        let others = OthersLoad::learn(Moment(0), u32::from(requests), u32::from(own));
-        let room = server_room(Moment(0).plus(Duration::from_millis(u64::from(age_ms))), slots, Some(others));
+        let others = PeerLoad::learn(Moment(0), u32::from(requests), u32::from(own));
+        let room = inflight_limit(Moment(0).plus(Duration::from_millis(u64::from(age_ms))), slots, Some(others));
         (1..=slots + 1).contains(&room)
     }
 }
 
 #[test]
 fn what_others_had_there_counts_less_the_older_it_is() {
-    let others = OthersLoad::learn(Moment(0), 4, 1);
-    let rooms = [0, 20, 40, 70, 100].map(|age_ms| server_room(Moment(age_ms * 1_000), 3, Some(others)));
+    let others = PeerLoad::learn(Moment(0), 4, 1);
+    let rooms = [0, 20, 40, 70, 100].map(|age_ms| inflight_limit(Moment(age_ms * 1_000), 3, Some(others)));
     assert_eq!(rooms, [1, 2, 2, 3, 4]);
-    assert_eq!(server_room(Moment(0), 3, None), 4, "nothing is known");
+    assert_eq!(inflight_limit(Moment(0), 3, None), 4, "nothing is known");
 }
--- a/crates/policy/tests/mechanism.rs
+++ b/crates/policy/tests/mechanism.rs
@@ -12,12 +12,12 @@
 fn cost_without(mechanisms: &[Mechanism]) -> f64 {
     let now = Moment(1_000_000);
     let warm_at = now.plus(Duration::from_secs(1));
-    let mut state = ReplicaState::new(2, warm_at).with(MechanismSet::without(mechanisms));
+    let mut state = ReplicaState::new(2, warm_at).with_mechanisms(MechanismSet::without(mechanisms));
     state.start(now);
     state.finish(now, now, CallSample::Answered);
     state.start(now);
     state.finish(now, now, CallSample::Full);
-    state.learn_load(now, 2, 3);
+    state.record_load(now, 2, 3);
     state.cost(now, Distance::Domain, TYPICAL, SPELL)
 }
 
--- a/crates/policy/tests/work_pace.rs
+++ b/crates/policy/tests/pace_estimate.rs
@@ -9,7 +9,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use streamfold_policy::replica::{CallSample, Distance, ReplicaState};
-use streamfold_policy::work_pace::{WorkPace, WorkSample};
+use streamfold_policy::pace_estimate::{PaceEstimate, WorkSample};
 use streamfold_policy::{Mechanism, MechanismSet, Moment};
 
 const SPELL: Duration = Duration::from_secs(1);
@@ -52,8 +52,8 @@
 /// Plays the load for some seconds; `choose` picks a server by what is believed of each and when it would really answer.
 fn play(load: &Load, seconds: u64, mechanisms: MechanismSet, is_oracle: bool) -> Vec<MadeCall> {
     let mut dice = StdRng::seed_from_u64(7);
-    let mut states = vec![ReplicaState::new(SLOTS as u32, Moment::default()).with(mechanisms); load.servers];
-    states.iter_mut().for_each(|state| state.set_compared(load.servers > 2));
+    let mut states = vec![ReplicaState::new(SLOTS as u32, Moment::default()).with_mechanisms(mechanisms); load.servers];
+    states.iter_mut().for_each(|state| state.set_comparable(load.servers > 2));
     let mut slots = vec![[0u64; SLOTS]; load.servers];
     let mut open = BinaryHeap::new();
     let mut made = Vec::new();
@@ -186,7 +186,7 @@
 
 #[test]
 fn one_pause_over_many_calls_is_one_event() {
-    let mut pace = WorkPace::default();
+    let mut pace = PaceEstimate::default();
     for _ in 0..6 {
         pace.learn(ms(1_250), WorkSample { started: ms(1_000), ratio: 25.0, has_waited: false }, SPELL);
     }
@@ -213,14 +213,14 @@
 fn a_wrong_word_of_a_server_loses_its_weight() {
     let usual = Duration::from_micros(WORK_US as u64);
     let mut server = ReplicaState::new(2, Moment::default());
-    server.set_compared(true);
+    server.set_comparable(true);
     let cost = |server: &ReplicaState, at| server.cost(ms(at), Distance::Domain, usual, SPELL) / WORK_US;
     let mut costs = Vec::new();
     for call in 0..8u64 {
         let started = ms(call * 100);
         server.start_measured(started, usual);
         let now = started.plus(usual);
-        server.learn_pace(now, 8.0);
+        server.record_reported_pace(now, 8.0);
         server.finish_measured(now, started, CallSample::Answered, SPELL);
         costs.push(format!("{:.2}", cost(&server, call * 100 + 10)));
     }
@@ -229,7 +229,7 @@
 
 #[test]
 fn what_another_node_told_counts_less_and_fades() {
-    let mut pace = WorkPace::default();
+    let mut pace = PaceEstimate::default();
     pace.learn_told(ms(2_000), 8.0, Duration::from_millis(500));
     let told = [2_000, 3_000, 6_000, 20_000].map(|at| format!("{at} ms: {:.2}", pace.stretch(ms(at), SPELL)));
     insta::assert_snapshot!(told.join("\n"));
@@ -243,7 +243,7 @@
 fn work_ahead_and_a_failure_add_to_what_a_measured_server_costs() {
     let usual = Duration::from_millis(10);
     let mut server = ReplicaState::new(2, Moment::default());
-    server.set_compared(true);
+    server.set_comparable(true);
     let cost = |server: &ReplicaState, now| server.cost(now, Distance::Domain, usual, SPELL) / 10_000.0;
     assert_eq!(cost(&server, ms(1)), 1.0, "nothing is known of it");
     server.start_measured(ms(1), usual);
@@ -259,9 +259,9 @@
 fn without_three_servers_or_the_mechanism_nothing_changes() {
     let usual = Duration::from_millis(10);
     for (mechanisms, is_compared) in [(measured(), false), (unmeasured(), true)] {
-        let mut server = ReplicaState::new(2, Moment::default()).with(mechanisms);
-        server.set_compared(is_compared);
-        let mut plain = ReplicaState::new(2, Moment::default()).with(unmeasured());
+        let mut server = ReplicaState::new(2, Moment::default()).with_mechanisms(mechanisms);
+        server.set_comparable(is_compared);
+        let mut plain = ReplicaState::new(2, Moment::default()).with_mechanisms(unmeasured());
         for call in 0..5u64 {
             server.start_measured(ms(call * 100), usual);
             server.finish_measured(ms(call * 100 + 90), ms(call * 100), CallSample::Answered, SPELL);
@@ -277,7 +277,7 @@
 quickcheck! {
     /// Whatever calls show and others tell, a pace stays within its bounds and ends as the usual one.
     fn any_samples_leave_a_pace_that_fades(samples: Vec<(u16, f64, bool)>) -> bool {
-        let mut pace = WorkPace::default();
+        let mut pace = PaceEstimate::default();
         let mut now = ms(0);
         for (pause, ratio, is_told) in samples {
             now = now.plus(Duration::from_millis(u64::from(pause)));
--- a/crates/policy/tests/recent_work.rs
+++ b/crates/policy/tests/recent_work.rs
@@ -5,7 +5,7 @@
 use streamfold_model::ContentId;
 use streamfold_policy::Moment;
 use streamfold_policy::crash_book::{CrashSuspect, SURVIVED_AFTER};
-use streamfold_policy::recent_work::{LATELY, RecentWork};
+use streamfold_policy::recent_work::{RECENT_WINDOW, RecentWork};
 
 fn at(millis: u64) -> Moment {
     Moment::default().plus(Duration::from_millis(millis))
@@ -22,11 +22,11 @@
     work.note_start(twice);
     work.note_end(at(100), twice, false);
     assert_eq!(work.suspects(at(150)), [long, twice, old]);
-    assert_eq!(work.suspects(at(0).plus(LATELY).plus(Duration::from_millis(1))), [long, twice]);
+    assert_eq!(work.suspects(at(0).plus(RECENT_WINDOW).plus(Duration::from_millis(1))), [long, twice]);
     work.note_end(at(300), twice, false);
     work.note_end(at(300), long, false);
     assert_eq!(work.suspects(at(300)), [long, twice]);
-    assert_eq!(work.suspects(at(300).plus(LATELY * 2)), []);
+    assert_eq!(work.suspects(at(300).plus(RECENT_WINDOW * 2)), []);
 }
 
 #[test]
--- a/crates/policy/tests/pace.rs
+++ b/crates/policy/tests/reported_pace.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use streamfold_policy::pace::{PaceBelief, SpellRecord, SpellSample};
+use streamfold_policy::reported_pace::{ReportedPace, SlowPeriodStats, SlowPeriodSample};
 use streamfold_policy::replica::{Distance, ReplicaState};
 use streamfold_policy::{Mechanism, MechanismSet, Moment};
 
@@ -15,13 +15,13 @@
 
 /// The length of spells that a record finds, where servers that are asked each `look` are slow for `spell`.
 fn measure(spell: Duration, look: Duration) -> Duration {
-    let mut record = SpellRecord::default();
+    let mut record = SlowPeriodStats::default();
     for _ in 0..300 {
         let looks = (spell.as_millis() / look.as_millis()).max(1);
-        (1..looks).for_each(|_| record.note(SpellSample { span: look, is_on: true }));
-        record.note(SpellSample { span: look, is_on: false });
+        (1..looks).for_each(|_| record.add(SlowPeriodSample { span: look, is_slow: true }));
+        record.add(SlowPeriodSample { span: look, is_slow: false });
     }
-    record.spell()
+    record.mean()
 }
 
 #[test]
@@ -35,14 +35,14 @@
 
 #[test]
 fn a_slow_word_fades_as_spells_end_and_a_later_one_replaces_it() {
-    let mut belief = PaceBelief::default();
+    let mut belief = ReportedPace::default();
     assert_eq!(belief.stretch(at(0), SECOND), 1.0);
     assert_eq!(belief.learn(at(0), 4.0), None);
     let told: Vec<String> =
         [0, 500, 1_000, 3_000].map(|age| format!("{age} ms: {:.2}", belief.stretch(at(age), SECOND))).into();
     insta::assert_snapshot!(told.join("\n"));
-    assert_eq!(belief.learn(at(200), 4.0), Some(SpellSample { span: Duration::from_millis(200), is_on: true }));
-    assert_eq!(belief.learn(at(300), 1.0), Some(SpellSample { span: Duration::from_millis(100), is_on: false }));
+    assert_eq!(belief.learn(at(200), 4.0), Some(SlowPeriodSample { span: Duration::from_millis(200), is_slow: true }));
+    assert_eq!(belief.learn(at(300), 1.0), Some(SlowPeriodSample { span: Duration::from_millis(100), is_slow: false }));
     assert_eq!(belief.stretch(at(300), SECOND), 1.0);
     assert_eq!(belief.learn(at(400), 0.5), None);
     assert_eq!(belief.stretch(at(400), SECOND), 1.0, "a fast word makes no server cheaper than a usual one");
@@ -53,9 +53,9 @@
 #[test]
 fn a_server_that_tells_a_slow_pace_is_left_and_looked_at_again_as_spells_end() {
     let choose = |mechanisms: MechanismSet, spell: Duration, age: u64| {
-        let mut near = ReplicaState::new(2, Moment::default()).with(mechanisms);
-        near.learn_pace(at(0), 8.0);
-        let far = ReplicaState::new(2, Moment::default()).with(mechanisms);
+        let mut near = ReplicaState::new(2, Moment::default()).with_mechanisms(mechanisms);
+        near.record_reported_pace(at(0), 8.0);
+        let far = ReplicaState::new(2, Moment::default()).with_mechanisms(mechanisms);
         let near = near.cost(at(age), Distance::Domain, TYPICAL, spell);
         let far = far.cost(at(age), Distance::Far, TYPICAL, spell);
         if near < far { "near" } else { "far" }
--- a/crates/policy/tests/routing_rules.rs
+++ b/crates/policy/tests/routing_rules.rs
@@ -165,7 +165,7 @@
     server.start(ms(0));
     assert!(server.is_busy(now));
     server.finish(now, ms(0), CallSample::Abandoned);
-    server.learn_load(now, 4, 1);
+    server.record_load(now, 4, 1);
     assert!(server.is_busy(now), "by its own word");
     assert!(!server.is_busy(now.plus(Duration::from_secs(2))), "which is soon forgotten");
 }
@@ -247,7 +247,7 @@
     let mut busy = server();
     (0..12).for_each(|_| busy.start(now));
     let mut told = server();
-    told.learn_load(now, 4, 8);
+    told.record_load(now, 4, 8);
     let typical = |server: &ReplicaState, distance| server.cost(now, distance, TYPICAL, SPELL);
     let mut ranked = [
         ("idle, near", typical(&server(), Distance::Domain)),
@@ -281,7 +281,7 @@
                     let started = Moment(now.0.saturating_sub(u64::from(pause) * 500));
                     server.note_overdue(now, started);
                 }
-                3 => server.learn_load(now, u32::from(detail), u32::from(pause)),
+                3 => server.record_load(now, u32::from(detail), u32::from(pause)),
                 _ if running == 0 => {}
                 _ => {
                     running -= 1;
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -14,7 +14,7 @@
 use streamfold_policy::owner::{choose_owners, connection_share};
 use streamfold_policy::pin::choose_version;
 use streamfold_policy::{
-    AdaptiveRules, Admission, AdmissionAsk, AdmissionGate, CallReport, HeldVersions, LatencyTrack, MemberEntry,
+    AdaptiveRules, Admission, AdmissionAsk, AdmissionGate, CallReport, HeldVersions, LatencyHistogram, MemberEntry,
     MemberState, MemberTable, MemberTimes, Moment, QueueSubmission, ServerState, UpstreamQueue, WorkItem, WorkReport,
 };
 
@@ -183,7 +183,7 @@
     /// A quantile is at least the samples it covers, and at most a bucket above them.
     fn a_quantile_covers_its_samples(millis: Vec<u8>) -> TestResult {
         let Some(most) = millis.iter().max().filter(|most| **most > 0) else { return TestResult::discard() };
-        let mut track = LatencyTrack::default();
+        let mut track = LatencyHistogram::default();
         for sample in &millis {
             track.add(Duration::from_millis(u64::from(*sample)));
         }
--- a/crates/policy/tests/server_scope.rs
+++ b/crates/policy/tests/server_exclusion.rs
@@ -1,7 +1,7 @@
 //! Which servers a request may be sent to at all.
 
 use streamfold_model::{HomeRegions, RegionName};
-use streamfold_policy::server_scope::{ServerStanding, find_bar};
+use streamfold_policy::server_exclusion::{ServerConditions, find_exclusion};
 
 fn region(name: &str) -> RegionName {
     name.parse().expect("a name")
@@ -18,14 +18,14 @@
     let mut seen = Vec::new();
     for (name, homes) in &scopes {
         for bits in 0..16 {
-            let [is_leaving, is_evacuated, is_unreachable, is_cold_spent] = [1, 2, 4, 8].map(|bit| bits & bit != 0);
+            let [is_leaving, is_evacuated, is_unreachable, is_cold_limit_reached] = [1, 2, 4, 8].map(|bit| bits & bit != 0);
             for region in [None, Some(&here)] {
                 let bar =
-                    find_bar(homes, ServerStanding { is_leaving, is_evacuated, is_unreachable, is_cold_spent, region });
+                    find_exclusion(homes, ServerConditions { is_leaving, is_evacuated, is_unreachable, is_cold_limit_reached, region });
                 let bar = bar.map_or("none".to_owned(), |bar| bar.to_string());
                 let region = region.map_or("unknown", |_| "here");
                 seen.push(format!(
-                    "{name}, region {region}, leaving {is_leaving}, evacuated {is_evacuated}, unreachable {is_unreachable}, cold {is_cold_spent}: {bar}"
+                    "{name}, region {region}, leaving {is_leaving}, evacuated {is_evacuated}, unreachable {is_unreachable}, cold {is_cold_limit_reached}: {bar}"
                 ));
             }
         }
--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -9,7 +9,7 @@
 use streamfold_policy::Moment;
 use streamfold_policy::domain_reach::LEAST_SILENCE;
 use streamfold_policy::replica::Distance;
-use streamfold_policy::server_bound::ServerRights;
+use streamfold_policy::server_bound::SendPermission;
 
 use crate::call::{CallFailure, SentMark};
 use crate::call_line::CallPlace;
@@ -101,7 +101,7 @@
     /// How the last call that failed did so, for the log.
     pub(crate) failure: &'static str,
     /// The servers that this node may use.
-    pub(crate) rights: ServerRights<ServerId>,
+    pub(crate) rights: SendPermission<ServerId>,
     /// The server that both this node and one asked for the shard may use.
     pub(crate) kept: Option<ServerId>,
 }
@@ -129,7 +129,7 @@
             is_handed: false,
             may_have_run: false,
             failure: "none",
-            rights: ServerRights::Any,
+            rights: SendPermission::Any,
             kept: None,
         }
     }
@@ -179,7 +179,7 @@
 
     /// Notes what another node did for the request, which sends it no more.
     pub fn note_elsewhere(&mut self, sent: u32, has_arrived: bool) {
-        self.rights = ServerRights::Any;
+        self.rights = SendPermission::Any;
         self.sent_elsewhere = sent;
         self.has_arrived |= has_arrived;
         self.may_have_run |= sent > 0;
@@ -188,7 +188,7 @@
     /// Notes that a node fell silent that was asked for the request and may have sent it, or may
     /// still do so: this one has only the server kept.
     pub fn note_silent_node(&mut self) {
-        self.rights = self.kept.clone().map_or(ServerRights::NoServer, ServerRights::Kept);
+        self.rights = self.kept.clone().map_or(SendPermission::NoServer, SendPermission::Reserved);
         self.has_arrived = true;
         self.may_have_run = true;
     }
@@ -196,7 +196,7 @@
     /// Whether nothing was done for the shard yet, so that it may be lent to another node: this one
     /// uses no server but the one then kept.
     pub fn is_untouched(&self) -> bool {
-        self.tried.is_empty() && !self.is_waiting && self.rights == ServerRights::Any && self.sent_elsewhere == 0
+        self.tried.is_empty() && !self.is_waiting && self.rights == SendPermission::Any && self.sent_elsewhere == 0
     }
 
     /// Whether the request may go to a server, where it may run on `most`.
--- a/crates/router/src/call.rs
+++ b/crates/router/src/call.rs
@@ -217,10 +217,10 @@
 
 fn learn(now: Moment, server: &Server, reply: &ReplyHead) {
     if let Some(left) = reply.cold_left {
-        server.state().learn_cold(now, left);
+        server.state().record_warmup(now, left);
     }
     if let Some(load) = reply.load {
-        server.state().learn_load(now, load.running, load.waiting);
+        server.state().record_load(now, load.running, load.waiting);
         if let Some(pace) = load.pace {
             server.learn_pace(now, pace);
         }
--- a/crates/router/src/cluster.rs
+++ b/crates/router/src/cluster.rs
@@ -223,7 +223,7 @@
             if !entry.warmup.is_zero() && server.state().warmup_left(now).is_zero() {
                 tracing::info!(event = "server_cold", server = %entry.id, left_ms = entry.warmup.as_millis() as u64);
             }
-            server.state().learn_cold(now, entry.warmup);
+            server.state().record_warmup(now, entry.warmup);
             if !entry.is_draining || server.is_leaving() {
                 return false;
             }
--- a/crates/router/src/cluster_parts.rs
+++ b/crates/router/src/cluster_parts.rs
@@ -90,7 +90,7 @@
             let is_evacuated = list.domains.contains(&domain.name);
             if domain.set_evacuated(is_evacuated) && !is_evacuated {
                 let servers = self.servers.values().filter(|server| server.domain == domain.name);
-                servers.for_each(|server| server.state().learn_cold(now, self.bounded_cold(&server.service)));
+                servers.for_each(|server| server.state().record_warmup(now, self.bounded_cold(&server.service)));
             }
         }
         self.evacuations = Some(list);
--- a/crates/router/src/cluster_view.rs
+++ b/crates/router/src/cluster_view.rs
@@ -6,11 +6,11 @@
 use streamfold_model::{FailureDomain, HomeRegions, NodeEntry, NodeId, RouteName, RouteTable, ServiceName};
 use streamfold_policy::Moment;
 use streamfold_policy::budget_share::{BudgetNode, BudgetNodes, divide_allowance};
-use streamfold_policy::cold_limit::{ColdBound, deal_calls};
+use streamfold_policy::cold_limit::{ColdBound, cold_call_quota};
 use streamfold_policy::extra_budget::ExtraBudget;
 use streamfold_policy::owner::{CallerKind, CallingNodes, divide_connections};
 use streamfold_policy::replica::Distance;
-use streamfold_policy::server_scope::ServerBar;
+use streamfold_policy::server_exclusion::ServerExclusion;
 use streamfold_policy::shard_health::ServiceStanding;
 use streamfold_policy::split_rule::SplitTurns;
 
@@ -93,7 +93,7 @@
     }
 
     /// How many of its servers each bar keeps requests with these homes from, for the log.
-    pub fn count_bars(&self, now: Moment, homes: &HomeRegions) -> BTreeMap<ServerBar, usize> {
+    pub fn count_bars(&self, now: Moment, homes: &HomeRegions) -> BTreeMap<ServerExclusion, usize> {
         let mut counts = BTreeMap::new();
         for bar in self.servers.iter().filter_map(|server| server.find_bar(now, homes)) {
             *counts.entry(bar).or_default() += 1;
@@ -190,7 +190,7 @@
     /// while the server is cold.
     pub(crate) fn share_out(&self, node: &NodeId, cold_calls: Option<ColdCallSettings>) {
         for service in self.services.values() {
-            service.servers.iter().for_each(|server| server.state().set_compared(service.is_compared));
+            service.servers.iter().for_each(|server| server.state().set_comparable(service.is_compared));
         }
         for server in self.services.values().flat_map(|service| &service.servers) {
             server.set_share(self.connection_share(server));
@@ -206,7 +206,7 @@
         }
         let bound = ColdBound { rate, excess: cold.excess, allowance: cold.allowance };
         let owners: Vec<&str> = self.near_owners.iter().map(NodeId::as_str).collect();
-        Some(deal_calls(bound, &owners, node.as_str(), server.id.as_str()))
+        Some(cold_call_quota(bound, &owners, node.as_str(), server.id.as_str()))
     }
 
     fn connection_share(&self, server: &Server) -> u32 {
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -7,7 +7,7 @@
 use streamfold_model::{FailureDomain, NodeId, Priority, RouteTarget, ServiceName, ShardFold};
 use streamfold_policy::come_back::TurnReason;
 use streamfold_policy::entry_gate::{EntryAsk, EntryGate, EntryRule, EntryStep};
-use streamfold_policy::server_outlook::{ShardOutlook, expect_answers};
+use streamfold_policy::finish_estimate::{ShardEstimate, estimate_answers};
 use streamfold_policy::wait_book::{AgreedWait, WaitBook};
 use streamfold_policy::{Mechanism, Moment};
 
@@ -115,19 +115,19 @@
 
 /// When enough shards of a request are expected to have answered.
 fn expect(context: &AttemptContext, fold: &ShardFold, now: Moment, left: Duration) -> Option<Duration> {
-    let outlooks: Vec<ShardOutlook> = fold.shards.iter().map(|shard| foresee(context, shard, now, left)).collect();
-    expect_answers(&outlooks, fold_rule(context, fold).least_answers())
+    let outlooks: Vec<ShardEstimate> = fold.shards.iter().map(|shard| foresee(context, shard, now, left)).collect();
+    estimate_answers(&outlooks, fold_rule(context, fold).least_answers())
 }
 
 /// What is known of a shard's servers; of no further ones once one is expected in time.
-fn foresee(context: &AttemptContext, shard: &ServiceName, now: Moment, left: Duration) -> ShardOutlook {
+fn foresee(context: &AttemptContext, shard: &ServiceName, now: Moment, left: Duration) -> ShardEstimate {
     let service = context.view.services.get(shard);
     let usable = service.into_iter().flat_map(|service| service.usable(now, &context.homes));
     let outlooks = usable.map(|server| {
         let typical = context.times.typical(server.distance, context.route.target_latency);
         server.outlook(now, typical)
     });
-    ShardOutlook::of(outlooks, left)
+    ShardEstimate::of(outlooks, left)
 }
 
 fn note_turned_away(context: &AttemptContext, ask: &EntryAsk, told: AgreedWait, reason: &'static str) {
--- a/crates/router/src/pace_report.rs
+++ b/crates/router/src/pace_report.rs
@@ -57,7 +57,7 @@
     for pace in told.iter().take(MAX_TOLD) {
         let Some(server) = servers.iter().find(|server| server.run() == pace.server) else { continue };
         let stretch = f64::from(pace.thousandths) / 1e3;
-        server.state().learn_measured(now, stretch, Duration::from_micros(pace.age_us));
+        server.state().record_peer_pace(now, stretch, Duration::from_micros(pace.age_us));
         tracing::debug!(event = "pace_told", server = %server.id, thousandths = pace.thousandths, age_us = pace.age_us);
         metrics::counter!("streamfold_told_paces_total").increment(1);
     }
--- a/crates/router/src/peer_gather.rs
+++ b/crates/router/src/peer_gather.rs
@@ -4,7 +4,7 @@
 
 use streamfold_model::ShardFold;
 use streamfold_policy::fold_rule::FoldRule;
-use streamfold_policy::server_bound::ServerRights;
+use streamfold_policy::server_bound::SendPermission;
 
 use crate::attempt_context::AttemptContext;
 use crate::batch::{BatchMode, DomainReport, FoldedShard, MissingShard, ServerPace, ShardBatch, ShardReply};
@@ -26,7 +26,7 @@
         let rule = FoldRule { target: reply_within.min(limit), limit, min_coverage: 0.0, shards: fold.shards.len() };
         let mut round = GatherRound::new(context, fold, rule);
         for (slot, shard) in round.slots.iter_mut().zip(&batch.shards) {
-            slot.attempts.rights = ServerRights::Lent { kept: shard.kept.clone() };
+            slot.attempts.rights = SendPermission::Delegated { reserved: shard.kept.clone() };
         }
         round.start_rest();
         Self { round, mode: batch.mode, told: 0 }
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -10,8 +10,8 @@
 use streamfold_policy::crash_book::CrashSuspect;
 use streamfold_policy::recent_work::RecentWork;
 use streamfold_policy::replica::{CallSample, Distance, ReplicaState};
-use streamfold_policy::server_outlook::{FinishOutlook, ServerOutlook};
-use streamfold_policy::server_scope::{ServerBar, ServerStanding, find_bar};
+use streamfold_policy::finish_estimate::{FinishEstimator, ServerEstimate};
+use streamfold_policy::server_exclusion::{ServerExclusion, ServerConditions, find_exclusion};
 use streamfold_policy::{MechanismSet, Moment};
 
 use crate::clock::NodeClock;
@@ -102,7 +102,7 @@
             doubtful: AtomicBool::new(false),
             cold_share: AtomicU32::new(u32::MAX),
             cold_calls: Mutex::default(),
-            state: Mutex::new(ReplicaState::new(entry.slots, now.plus(entry.warmup)).with(mechanisms)),
+            state: Mutex::new(ReplicaState::new(entry.slots, now.plus(entry.warmup)).with_mechanisms(mechanisms)),
             work: Mutex::default(),
             crashed: AtomicBool::new(false),
             alive_at: AtomicU64::new(0),
@@ -195,13 +195,13 @@
     }
 
     /// When a call that goes to it now is expected to be answered, where such calls usually take `typical`.
-    pub fn outlook(&self, now: Moment, typical: Duration) -> ServerOutlook {
-        self.state().outlook(now, typical, self.spells.spell())
+    pub fn outlook(&self, now: Moment, typical: Duration) -> ServerEstimate {
+        self.state().estimate_finish(now, typical, self.spells.spell())
     }
 
     /// Notes how many times as long as usual work takes there by its own word.
     pub fn learn_pace(&self, now: Moment, pace: f64) {
-        let sample = self.state().learn_pace(now, pace);
+        let sample = self.state().record_reported_pace(now, pace);
         if let Some(sample) = sample {
             self.spells.note(sample);
         }
@@ -213,15 +213,15 @@
     }
 
     /// What keeps requests with these homes from it, if anything does.
-    pub fn find_bar(&self, now: Moment, homes: &HomeRegions) -> Option<ServerBar> {
-        let standing = ServerStanding {
+    pub fn find_bar(&self, now: Moment, homes: &HomeRegions) -> Option<ServerExclusion> {
+        let standing = ServerConditions {
             is_leaving: self.is_leaving(),
             is_evacuated: self.domain_state.is_evacuated(),
             is_unreachable: self.is_dark(now),
-            is_cold_spent: self.is_cold_spent(now),
+            is_cold_limit_reached: self.is_cold_spent(now),
             region: self.domain_state.region.as_ref(),
         };
-        find_bar(homes, standing)
+        find_exclusion(homes, standing)
     }
 
     /// Marks it as leaving and gives up the connections at rest. No run comes back from this: one that
@@ -268,7 +268,7 @@
     }
 
     fn is_cold_spent(&self, now: Moment) -> bool {
-        self.cold_part(now).is_some_and(|part| !lock(&self.cold_calls).has_room(now, part))
+        self.cold_part(now).is_some_and(|part| !lock(&self.cold_calls).has_capacity(now, part))
     }
 
     /// Counts a call that is about to be sent; false if it is cold and this node may make none now.
@@ -280,7 +280,7 @@
     /// would only wait in another place.
     pub fn has_room(&self, now: Moment) -> bool {
         let state = self.state();
-        state.running() < self.pool.share() && state.has_room(now)
+        state.running() < self.pool.share() && state.has_capacity(now)
     }
 
     /// Sets how many connections this node may have to it.
--- a/crates/router/src/times.rs
+++ b/crates/router/src/times.rs
@@ -3,7 +3,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use streamfold_policy::LatencyTrack;
+use streamfold_policy::LatencyHistogram;
 use streamfold_policy::replica::Distance;
 
 /// Below so many samples the route's target latency tells more.
@@ -23,11 +23,11 @@
 /// Latencies of a route's calls to servers.
 #[derive(Debug, Default)]
 pub struct CallTimes {
-    tracks: Mutex<[LatencyTrack; 3]>,
+    tracks: Mutex<[LatencyHistogram; 3]>,
 }
 
 impl CallTimes {
-    fn tracks(&self) -> MutexGuard<'_, [LatencyTrack; 3]> {
+    fn tracks(&self) -> MutexGuard<'_, [LatencyHistogram; 3]> {
         self.tracks.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
