--- a/crates/lab/tests/relay.rs
+++ b/crates/lab/tests/relay.rs
@@ -11,7 +11,7 @@
 use streamfold_lab::route_fleet::{DOMAINS, RouteFleet, RouteFleetPlan, RouteNode, write_route};
 use streamfold_lab::wait::{WAIT_AT_MOST, wait_for};
 use streamfold_model::CoreShare;
-use streamfold_policy::feed_rule::{FeedNode, choose_readers};
+use streamfold_policy::reader_choice::{ReaderCandidate, choose_readers};
 use streamfold_standin::server::RouteServerPlan;
 
 /// Nodes of the failure domain.
@@ -52,7 +52,7 @@
 /// The positions of the nodes that come first in the tree of readers.
 fn find_first_ranks(fleet: &RouteFleet, count: usize) -> Vec<usize> {
     let power = Some(CoreShare(1_000));
-    let nodes: Vec<FeedNode> = fleet.nodes.iter().map(|node| FeedNode { name: &node.name, power }).collect();
+    let nodes: Vec<ReaderCandidate> = fleet.nodes.iter().map(|node| ReaderCandidate { name: &node.name, power }).collect();
     let rank = |position: &usize| choose_readers(nodes[*position].name, DOMAINS[0], &nodes).readers.len();
     let mut positions: Vec<usize> = (0..nodes.len()).collect();
     positions.sort_by_key(rank);
--- a/crates/policy/src/absence.rs
+++ b/crates/policy/src/absence.rs
@@ -8,21 +8,21 @@
 
 /// Things that could not be reached, with the moment since when.
 #[derive(Debug)]
-pub struct AbsenceBook<K> {
+pub struct AbsenceTracker<K> {
     since: HashMap<K, Moment>,
 }
 
-impl<K> Default for AbsenceBook<K> {
+impl<K> Default for AbsenceTracker<K> {
     fn default() -> Self {
         Self { since: HashMap::new() }
     }
 }
 
-impl<K: Clone + Eq + Hash> AbsenceBook<K> {
+impl<K: Clone + Eq + Hash> AbsenceTracker<K> {
     /// Takes one look at all that should be there, each with whether it was reached, and returns
     /// those that no look has reached for `limit`. Where nothing at all was reached the fault is
     /// more likely here, so that look tells nothing.
-    pub fn note_look(&mut self, now: Moment, looks: &[(K, bool)], reaches_others: bool, limit: Duration) -> Vec<K> {
+    pub fn note_scan(&mut self, now: Moment, looks: &[(K, bool)], reaches_others: bool, limit: Duration) -> Vec<K> {
         if !reaches_others && looks.iter().all(|(_, is_reached)| !is_reached) {
             self.since.clear();
             return Vec::new();
--- a/crates/policy/src/batch_gate.rs
+++ b/crates/policy/src/batch_gate.rs
@@ -9,7 +9,7 @@
 use streamfold_model::CoreShare;
 
 use crate::moment::Moment;
-use crate::placement::batch_work;
+use crate::placement::batch_cpu_time;
 
 /// The part of the time until its reply is wanted that a batch may wait behind other work: its
 /// servers need most of the rest, and a node that is refused needs time to turn to another.
@@ -31,7 +31,7 @@
         if wait > within.mul_f64(MAX_WAIT_SHARE) {
             return Err(wait);
         }
-        self.done_at = now.plus(wait + power.stretch(batch_work(shards)));
+        self.done_at = now.plus(wait + power.stretch(batch_cpu_time(shards)));
         Ok(())
     }
 }
--- a/crates/policy/src/canary.rs
+++ b/crates/policy/src/canary.rs
@@ -13,18 +13,18 @@
 use streamfold_model::ServerId;
 
 use crate::Moment;
-use crate::crash_book::{ContentStanding, LEAST_CRASHES};
+use crate::crash_tracker::{ContentStatus, MIN_CRASHES};
 
 /// How long after a request lost several calls it waits until it is known whether servers ended: a look
 /// 5 ms later, and the way to a region 12 ms away and back.
-pub const VERDICT_WITHIN: Duration = Duration::from_millis(30);
+pub const VERDICT_TIMEOUT: Duration = Duration::from_millis(30);
 /// The same for a request over shards that lost several calls while nobody has answered it: servers that run the same
 /// end up to 90 ms after one another.
 const LONG_VERDICT_WITHIN: Duration = Duration::from_millis(90);
 
 /// Second calls of a request over shards while no server has answered it: with as many the first ones would show
 /// whether it ends servers, and a few that pause at once are gone round.
-const MAX_BLIND_HEDGES: usize = LEAST_CRASHES - 1;
+const MAX_BLIND_HEDGES: usize = MIN_CRASHES - 1;
 
 /// How far the call that goes first has come.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -42,31 +42,31 @@
 
 /// Whether a call may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallRight {
+pub enum CallPermission {
     /// Yes.
-    Free,
+    Allowed,
     /// Yes, as the one that goes first.
-    First,
+    AsCanary,
     /// Not before more is known.
     Wait,
     /// No.
-    Never,
+    Denied,
 }
 
 /// What becomes of a request whose calls are under way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RequestFate {
+pub enum RequestVerdict {
     /// It goes on.
-    GoesOn,
+    Continue,
     /// What it asks for is held off by now, and no server has answered it: its calls are cancelled.
-    GivenUp,
+    Cancelled,
     /// It is what ended the servers: what it asks for is held off from now on, and its calls are cancelled.
-    Blamed,
+    AtFault,
 }
 
 /// How the call that goes first ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CanaryEnd {
+pub enum CanaryOutcome {
     /// It was answered.
     Answered,
     /// It reached no server.
@@ -108,26 +108,26 @@
     }
 
     /// Whether the request may send a call; `patience` is how long the first one may take.
-    pub fn right(&self, now: Moment, standing: ContentStanding, patience: Duration) -> CallRight {
-        let is_held = matches!(standing, ContentStanding::Held { .. } | ContentStanding::TrialDue);
+    pub fn permission(&self, now: Moment, status: ContentStatus, patience: Duration) -> CallPermission {
+        let is_held = matches!(status, ContentStatus::Quarantined { .. } | ContentStatus::TrialDue);
         match &self.first {
-            _ if is_held && !self.is_trial => CallRight::Never,
-            CanaryState::Passed => CallRight::Free,
-            CanaryState::Failed => CallRight::Never,
-            CanaryState::Sent { at, .. } if now.since(*at) < patience => CallRight::Wait,
-            CanaryState::Sent { .. } => CallRight::Never,
-            CanaryState::NotSent if self.awaits_verdict(now) => CallRight::Wait,
+            _ if is_held && !self.is_trial => CallPermission::Denied,
+            CanaryState::Passed => CallPermission::Allowed,
+            CanaryState::Failed => CallPermission::Denied,
+            CanaryState::Sent { at, .. } if now.since(*at) < patience => CallPermission::Wait,
+            CanaryState::Sent { .. } => CallPermission::Denied,
+            CanaryState::NotSent if self.awaits_verdict(now) => CallPermission::Wait,
             // One more server would end, and with it the last one of its shard.
-            CanaryState::NotSent if standing == ContentStanding::Suspect && self.is_likely() => CallRight::Never,
-            CanaryState::NotSent if self.is_trial || standing == ContentStanding::Suspect => CallRight::First,
-            CanaryState::NotSent => CallRight::Free,
+            CanaryState::NotSent if status == ContentStatus::Suspect && self.is_likely() => CallPermission::Denied,
+            CanaryState::NotSent if self.is_trial || status == ContentStatus::Suspect => CallPermission::AsCanary,
+            CanaryState::NotSent => CallPermission::Allowed,
         }
     }
 
     /// Whether it has lost so many calls that it must first be known what became of the servers.
     fn awaits_verdict(&self, now: Moment) -> bool {
-        let least = if self.is_over_shards { 1 } else { LEAST_CRASHES };
-        let within = if self.lost > 1 && self.is_likely() { LONG_VERDICT_WITHIN } else { VERDICT_WITHIN };
+        let least = if self.is_over_shards { 1 } else { MIN_CRASHES };
+        let within = if self.lost > 1 && self.is_likely() { LONG_VERDICT_WITHIN } else { VERDICT_TIMEOUT };
         self.lost >= least && now.since(self.lost_at) < within
     }
 
@@ -137,24 +137,24 @@
     }
 
     /// Whether another request may yet turn out to be what ended the servers, so that this one may send calls again.
-    pub fn is_undecided(&self, standing: ContentStanding) -> bool {
-        standing == ContentStanding::Suspect && self.first == CanaryState::NotSent && self.is_likely()
+    pub fn is_undecided(&self, status: ContentStatus) -> bool {
+        status == ContentStatus::Suspect && self.first == CanaryState::NotSent && self.is_likely()
     }
 
     /// What becomes of the calls under way of a request that was begun `age` ago, where calls take `usual`.
-    pub fn fate(&self, standing: ContentStanding, age: Duration, usual: Duration) -> RequestFate {
+    pub fn verdict(&self, status: ContentStatus, age: Duration, usual: Duration) -> RequestVerdict {
         if self.is_trial || !self.is_likely() {
-            return RequestFate::GoesOn;
+            return RequestVerdict::Continue;
         }
-        match standing {
-            ContentStanding::Suspect if age >= usual => RequestFate::Blamed,
-            ContentStanding::Clear | ContentStanding::Suspect => RequestFate::GoesOn,
-            ContentStanding::Held { .. } | ContentStanding::TrialDue => RequestFate::GivenUp,
+        match status {
+            ContentStatus::Suspect if age >= usual => RequestVerdict::AtFault,
+            ContentStatus::Clear | ContentStatus::Suspect => RequestVerdict::Continue,
+            ContentStatus::Quarantined { .. } | ContentStatus::TrialDue => RequestVerdict::Cancelled,
         }
     }
 
     /// Notes that a call is sent while nothing speaks against the request.
-    pub fn note_free(&mut self) {
+    pub fn note_unrestricted(&mut self) {
         self.was_free = true;
     }
 
@@ -201,14 +201,14 @@
 
     /// Notes how the call that goes first ended. That of a trial is not over with its answer: whether the
     /// server lives on is told later.
-    pub fn note_end(&mut self, end: CanaryEnd) {
+    pub fn note_outcome(&mut self, end: CanaryOutcome) {
         self.first = match end {
-            CanaryEnd::Answered if self.is_trial => return,
-            CanaryEnd::Answered => CanaryState::Passed,
+            CanaryOutcome::Answered if self.is_trial => return,
+            CanaryOutcome::Answered => CanaryState::Passed,
             // A trial reaches one server and no more, whatever that does.
-            CanaryEnd::NotRun if self.is_trial => CanaryState::Failed,
-            CanaryEnd::NotSent | CanaryEnd::NotRun => CanaryState::NotSent,
-            CanaryEnd::Lost => CanaryState::Failed,
+            CanaryOutcome::NotRun if self.is_trial => CanaryState::Failed,
+            CanaryOutcome::NotSent | CanaryOutcome::NotRun => CanaryState::NotSent,
+            CanaryOutcome::Lost => CanaryState::Failed,
         };
     }
 
--- a/crates/policy/src/crash_book.rs
+++ b/crates/policy/src/crash_tracker.rs
@@ -16,13 +16,13 @@
 
 /// Servers that must have ended under a content before it is held off. One or two crashes at once come from
 /// a machine or rack; the platform counts from the third on.
-pub const LEAST_CRASHES: usize = 3;
+pub const MIN_CRASHES: usize = 3;
 /// How long after a crash it is decided whether the content is held off: a server that answers in that
 /// time speaks for it. About the longest target latency; all nodes must know within 4 s.
-pub const SETTLE_AFTER: Duration = Duration::from_millis(300);
+pub const DECISION_DELAY: Duration = Duration::from_millis(300);
 /// A server that answered must live on so long to speak for a content: processes end some 100 ms after a call
 /// began.
-pub const SURVIVED_AFTER: Duration = Duration::from_millis(250);
+pub const SURVIVAL_DELAY: Duration = Duration::from_millis(250);
 /// How long a content is held off before it is tried again: servers are back after some three seconds,
 /// and one that is held off by mistake, since it ran beside the one that did it, should be back with them.
 const FIRST_TRIAL_AFTER: Duration = Duration::from_secs(3);
@@ -45,18 +45,18 @@
     /// The content.
     pub content: ContentId,
     /// Whether it goes to a single service, so that a node sees one or two of its crashes and no more.
-    pub is_lone: bool,
+    pub is_single_service: bool,
 }
 
 /// How a request with a content is treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ContentStanding {
+pub enum ContentStatus {
     /// As any other.
     Clear,
     /// It goes to one server first, and to the others when that has answered.
     Suspect,
     /// It goes to no server until a moment.
-    Held {
+    Quarantined {
         /// When it may be tried again.
         until: Moment,
     },
@@ -86,7 +86,7 @@
 impl CrashCase {
     /// Whether requests were answered whole and the servers lived on.
     fn is_over(&self, now: Moment) -> bool {
-        let survived = |at: &Moment| *at >= self.last && now.since(*at) >= SURVIVED_AFTER;
+        let survived = |at: &Moment| *at >= self.last && now.since(*at) >= SURVIVAL_DELAY;
         self.held_since.is_none() && self.served_at.as_ref().is_some_and(survived)
     }
 }
@@ -101,7 +101,7 @@
 
 /// What one node knows of contents that end servers.
 #[derive(Debug, Default)]
-pub struct CrashBook {
+pub struct CrashTracker {
     cases: HashMap<ContentId, CrashCase>,
     shared: HashMap<ContentId, SharedCase>,
 }
@@ -112,7 +112,7 @@
     FIRST_TRIAL_AFTER.saturating_mul(factor).min(MAX_TRIAL_AFTER)
 }
 
-impl CrashBook {
+impl CrashTracker {
     /// Contents of which anything is known.
     pub fn len(&self) -> usize {
         self.cases.len() + self.shared.len()
@@ -124,23 +124,23 @@
     }
 
     /// How a request with a content is treated now.
-    pub fn standing(&self, now: Moment, content: ContentId) -> ContentStanding {
+    pub fn status(&self, now: Moment, content: ContentId) -> ContentStatus {
         let case = self.cases.get(&content).filter(|case| !case.is_over(now));
         let shared = self.shared.get(&content);
         let held = match (shared, case.and_then(|case| Some((case.held_since?, case.trials)))) {
-            (Some(shared), _) if shared.entry.crashed.len() >= LEAST_CRASHES => {
+            (Some(shared), _) if shared.entry.crashed.len() >= MIN_CRASHES => {
                 Some((shared.since, shared.entry.trials))
             }
             (_, local) => local,
         };
         if let Some((since, trials)) = held {
             let until = since.plus(trial_wait(trials));
-            return if until <= now { ContentStanding::TrialDue } else { ContentStanding::Held { until } };
+            return if until <= now { ContentStatus::TrialDue } else { ContentStatus::Quarantined { until } };
         }
-        let Some(case) = case else { return ContentStanding::Clear };
+        let Some(case) = case else { return ContentStatus::Clear };
         let crashes = self.unexplained(content).len();
-        let is_suspect = crashes >= LEAST_CRASHES && crashes > case.survived.len();
-        if is_suspect { ContentStanding::Suspect } else { ContentStanding::Clear }
+        let is_suspect = crashes >= MIN_CRASHES && crashes > case.survived.len();
+        if is_suspect { ContentStatus::Suspect } else { ContentStatus::Clear }
     }
 
     /// Servers that ended under a content and under no other one that is held off.
@@ -148,7 +148,7 @@
         let mut crashed = self.crashed(content);
         let held_cases = self.cases.iter().filter(|(_, case)| case.held_since.is_some());
         let held_cases = held_cases.map(|(held, case)| (*held, case.crashed.iter().collect::<Vec<_>>()));
-        let is_held = |shared: &&SharedCase| shared.entry.crashed.len() >= LEAST_CRASHES;
+        let is_held = |shared: &&SharedCase| shared.entry.crashed.len() >= MIN_CRASHES;
         let held_shared = self.shared.values().filter(is_held);
         let held_shared = held_shared.map(|shared| (shared.entry.content, shared.entry.crashed.iter().collect()));
         for (_, explained) in held_cases.chain(held_shared).filter(|(held, _)| *held != content) {
@@ -161,7 +161,7 @@
 
     /// Holds a content off at once, since it was found to be what ended its servers: what is to be told to all nodes,
     /// unless it is held off already.
-    pub fn blame(&mut self, now: Moment, content: ContentId) -> Option<CrashEntry> {
+    pub fn quarantine(&mut self, now: Moment, content: ContentId) -> Option<CrashEntry> {
         let crashed: Vec<ServerRun> = self.crashed(content).into_iter().take(MAX_NAMED).collect();
         let case = self.cases.get_mut(&content).filter(|case| case.held_since.is_none())?;
         case.held_since = Some(now);
@@ -169,8 +169,8 @@
     }
 
     /// Takes that another node holds a content off, or tries it again; whether that is news.
-    pub fn put_blamed(&mut self, now: Moment, entry: &CrashEntry) -> bool {
-        if entry.crashed.len() < LEAST_CRASHES || self.shared.contains_key(&entry.content) {
+    pub fn put_quarantined(&mut self, now: Moment, entry: &CrashEntry) -> bool {
+        if entry.crashed.len() < MIN_CRASHES || self.shared.contains_key(&entry.content) {
             return false;
         }
         entry.crashed.iter().take(MAX_NAMED).for_each(|server| {
@@ -220,7 +220,7 @@
     }
 
     /// Notes servers that ended under a content as another node has told; whether a decision is to be made.
-    pub fn note_told(&mut self, now: Moment, content: ContentId, servers: &[ServerRun]) -> bool {
+    pub fn note_reported(&mut self, now: Moment, content: ContentId, servers: &[ServerRun]) -> bool {
         let known = self.crashed(content);
         let news: Vec<&ServerRun> = servers.iter().take(MAX_NAMED).filter(|server| !known.contains(*server)).collect();
         let mut is_due = false;
@@ -252,7 +252,7 @@
 
     /// Decides what becomes of a content some while after a crash: what is to be told to all nodes, if
     /// anything.
-    pub fn settle(&mut self, now: Moment, suspect: CrashSuspect) -> Option<CrashEntry> {
+    pub fn decide(&mut self, now: Moment, suspect: CrashSuspect) -> Option<CrashEntry> {
         let crashed = self.unexplained(suspect.content);
         let has_room = self.shared.len() < MAX_CASES || self.shared.contains_key(&suspect.content);
         let case = self.cases.get_mut(&suspect.content)?;
@@ -261,12 +261,12 @@
         if is_served || crashed.len() <= case.survived.len() {
             return None;
         }
-        if crashed.len() >= LEAST_CRASHES {
+        if crashed.len() >= MIN_CRASHES {
             case.held_since.get_or_insert(now);
         }
-        let least = if suspect.is_lone { 1 } else { LEAST_CRASHES };
+        let least = if suspect.is_single_service { 1 } else { MIN_CRASHES };
         let is_known = self.shared.get(&suspect.content).is_some_and(|shared| {
-            shared.entry.crashed.len() >= LEAST_CRASHES || shared.entry.crashed.len() >= crashed.len()
+            shared.entry.crashed.len() >= MIN_CRASHES || shared.entry.crashed.len() >= crashed.len()
         });
         let crashed: Vec<ServerRun> = crashed.into_iter().take(MAX_NAMED).collect();
         let entry = CrashEntry { content: suspect.content, crashed, trials: 0 };
@@ -279,8 +279,8 @@
         if before.is_none() && self.shared.len() >= MAX_CASES {
             return false;
         }
-        let was_held = before.is_some_and(|before| before.entry.crashed.len() >= LEAST_CRASHES);
-        let is_held = entry.crashed.len() >= LEAST_CRASHES;
+        let was_held = before.is_some_and(|before| before.entry.crashed.len() >= MIN_CRASHES);
+        let is_held = entry.crashed.len() >= MIN_CRASHES;
         let is_same = was_held && before.is_some_and(|before| before.entry.trials == entry.trials);
         let since = before.filter(|_| is_same).map_or(now, |before| before.since);
         self.shared.insert(entry.content, SharedCase { entry, since });
@@ -310,7 +310,7 @@
     }
 
     /// Notes that this node tries a content of which the store knows nothing; what is to be told to other nodes.
-    pub fn note_own_trial(&mut self, now: Moment, content: ContentId) -> Option<CrashEntry> {
+    pub fn note_local_trial(&mut self, now: Moment, content: ContentId) -> Option<CrashEntry> {
         let crashed = self.crashed(content).into_iter().take(MAX_NAMED).collect();
         let case = self.cases.get_mut(&content)?;
         case.trials += 1;
@@ -319,14 +319,14 @@
     }
 
     /// Contents held off by all nodes.
-    pub fn count_held(&self) -> usize {
-        self.shared.values().filter(|shared| shared.entry.crashed.len() >= LEAST_CRASHES).count()
+    pub fn count_quarantined(&self) -> usize {
+        self.shared.values().filter(|shared| shared.entry.crashed.len() >= MIN_CRASHES).count()
     }
 
     /// Contents of which the store need hold nothing any more.
     pub fn find_expired(&self, now: Moment) -> Vec<ContentId> {
         let is_expired = |shared: &&SharedCase| {
-            let is_held = shared.entry.crashed.len() >= LEAST_CRASHES;
+            let is_held = shared.entry.crashed.len() >= MIN_CRASHES;
             now.since(shared.since) >= if is_held { RELEASE_AFTER } else { FORGET_AFTER }
         };
         self.shared.values().filter(is_expired).map(|shared| shared.entry.content).collect()
--- a/crates/policy/src/domain_reach.rs
+++ b/crates/policy/src/domain_reach.rs
@@ -19,7 +19,7 @@
 const SILENT_BESIDE_DARK: usize = 2;
 /// Nothing must be heard for so long since the first of the calls began: a first call to another region,
 /// with its connection, takes some 60 ms where one way there takes 12.
-pub const LEAST_SILENCE: Duration = Duration::from_millis(100);
+pub const MIN_SILENCE: Duration = Duration::from_millis(100);
 /// Those that are silent count together for so long: where a failure domain is lost, whatever was asked
 /// there is overdue within this time. Calls that were given up meanwhile leave nothing for later.
 const COUNTED_FOR: Duration = Duration::from_millis(500);
@@ -35,16 +35,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SilenceContext {
     /// Nothing of note.
-    Alone,
+    NoneUnreachable,
     /// Another failure domain is dark.
-    BesideDark,
+    OtherUnreachable,
 }
 
 impl SilenceContext {
     fn enough(self) -> usize {
         match self {
-            Self::Alone => SILENT_ENOUGH,
-            Self::BesideDark => SILENT_BESIDE_DARK,
+            Self::NoneUnreachable => SILENT_ENOUGH,
+            Self::OtherUnreachable => SILENT_BESIDE_DARK,
         }
     }
 }
@@ -65,7 +65,7 @@
 
 impl DomainReach {
     /// Notes that anything was heard from there: an answer, a refusal, a connection that came up.
-    pub fn note_heard(&mut self, now: Moment) {
+    pub fn note_contact(&mut self, now: Moment) {
         self.heard = self.heard.max(now);
         self.silent.clear();
         self.dark_until = Moment::default();
@@ -73,8 +73,8 @@
     }
 
     /// Notes that a server or node there is overdue with a call that began at a moment; whether the
-    /// failure domain is taken for dark by that, unless it is heard until [`LEAST_SILENCE`] is over.
-    pub fn note_silent(&mut self, now: Moment, started: Moment, who: &str, context: SilenceContext) -> bool {
+    /// failure domain is taken for dark by that, unless it is heard until [`MIN_SILENCE`] is over.
+    pub fn note_overdue(&mut self, now: Moment, started: Moment, who: &str, context: SilenceContext) -> bool {
         if now.since(self.silent_since) > COUNTED_FOR {
             self.silent.clear();
         }
@@ -87,7 +87,7 @@
             return false;
         }
         let span = FIRST_DARK * 2u32.pow(self.spans.min(5));
-        self.dark_from = self.silent_since.plus(LEAST_SILENCE).max(now);
+        self.dark_from = self.silent_since.plus(MIN_SILENCE).max(now);
         self.dark_until = self.dark_from.plus(span.min(MAX_DARK));
         self.spans += 1;
         self.silent.clear();
@@ -96,19 +96,19 @@
 
     /// Notes that a node there was asked for a sign of life in vain. So one that was dark stays so without
     /// a request that tries it; one that is not tells nothing by that, since its other nodes may live.
-    pub fn note_no_sign(&mut self, now: Moment) {
-        if self.is_dark(now) {
+    pub fn note_probe_failure(&mut self, now: Moment) {
+        if self.is_unreachable(now) {
             self.dark_until = self.dark_until.max(now.plus(HOLD));
         }
     }
 
     /// Whether anything was heard from there within a span.
-    pub fn was_heard_within(&self, now: Moment, span: Duration) -> bool {
+    pub fn had_contact_within(&self, now: Moment, span: Duration) -> bool {
         self.heard > Moment::default() && now.since(self.heard) < span
     }
 
     /// Whether nothing there is believed to answer now.
-    pub fn is_dark(&self, now: Moment) -> bool {
+    pub fn is_unreachable(&self, now: Moment) -> bool {
         self.dark_from <= now && now < self.dark_until
     }
 }
--- a/crates/policy/src/mechanism.rs
+++ b/crates/policy/src/mechanism.rs
@@ -12,19 +12,19 @@
     /// Second calls to far servers.
     FarHedges,
     /// Shards without a server near are handed in batches to nodes near their servers.
-    FarFolding,
+    FarDelegation,
     /// Shards with a server near are handed to stronger nodes of the failure domain.
-    NearFolding,
+    NearDelegation,
     /// Servers that fell silent are gone round.
     SilenceRouting,
     /// Servers are judged by their open calls too.
     OpenCalls,
     /// The load that servers tell counts.
-    ToldLoad,
+    ReportedLoad,
     /// Servers that refused or failed calls are asked less.
-    RefusalMemory,
+    RefusalPenalty,
     /// Servers that refused or failed a call rest.
-    FailureRest,
+    FailureBackoff,
     /// Servers that have just started count as slow.
     WarmUp,
     /// Servers that did not take a request are tried again after a pause.
@@ -36,19 +36,19 @@
     /// Requests of a split go to its services by turns.
     SplitTurns,
     /// Failure domains from which nothing is heard are gone round as a whole.
-    DarkDomains,
+    UnreachableDomains,
     /// What servers tell of their pace counts.
-    ToldPace,
+    ReportedPace,
     /// The time that a caller's new connection took counts as a part of its first request.
     HandshakeTime,
     /// Calls for full servers wait at the node, the most urgent first.
-    CallLines,
+    CallQueues,
     /// Among calls of one priority, teams take turns by their rates.
     TeamTurns,
     /// Requests that cannot be answered in time, or must give way to more urgent ones, are refused on arrival.
     EntryGate,
     /// Callers that are refused together are told different times to come back.
-    ReturnTurns,
+    RetryReservations,
     /// How fast a server works is learnt from its answers.
     MeasuredPace,
 }
@@ -57,25 +57,25 @@
 const NAMES: [(Mechanism, &str); 22] = [
     (Mechanism::NearHedges, "near_hedges"),
     (Mechanism::FarHedges, "far_hedges"),
-    (Mechanism::FarFolding, "far_folding"),
-    (Mechanism::NearFolding, "near_folding"),
+    (Mechanism::FarDelegation, "far_folding"),
+    (Mechanism::NearDelegation, "near_folding"),
     (Mechanism::SilenceRouting, "silence_routing"),
     (Mechanism::OpenCalls, "open_calls"),
-    (Mechanism::ToldLoad, "told_load"),
-    (Mechanism::RefusalMemory, "refusal_memory"),
-    (Mechanism::FailureRest, "failure_rest"),
+    (Mechanism::ReportedLoad, "told_load"),
+    (Mechanism::RefusalPenalty, "refusal_memory"),
+    (Mechanism::FailureBackoff, "failure_rest"),
     (Mechanism::WarmUp, "warm_up"),
     (Mechanism::RetryPauses, "retry_pauses"),
     (Mechanism::DomainReaders, "domain_readers"),
     (Mechanism::DoubtfulServers, "doubtful_servers"),
     (Mechanism::SplitTurns, "split_turns"),
-    (Mechanism::DarkDomains, "dark_domains"),
-    (Mechanism::ToldPace, "told_pace"),
+    (Mechanism::UnreachableDomains, "dark_domains"),
+    (Mechanism::ReportedPace, "told_pace"),
     (Mechanism::HandshakeTime, "handshake_time"),
-    (Mechanism::CallLines, "call_lines"),
+    (Mechanism::CallQueues, "call_lines"),
     (Mechanism::TeamTurns, "team_turns"),
     (Mechanism::EntryGate, "entry_gate"),
-    (Mechanism::ReturnTurns, "return_turns"),
+    (Mechanism::RetryReservations, "return_turns"),
     (Mechanism::MeasuredPace, "measured_pace"),
 ];
 
--- a/crates/policy/src/owner.rs
+++ b/crates/policy/src/owner.rs
@@ -47,14 +47,14 @@
 
 /// Nodes that may call one server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CallingNodes {
+pub struct NodeCounts {
     /// Those of its own failure domain.
     pub near: usize,
     /// All others.
     pub far: usize,
 }
 
-impl CallingNodes {
+impl NodeCounts {
     /// The part of one of these nodes, near the server or not.
     fn part_of_one(self, is_near: bool) -> f64 {
         let (part, count) = match (self, is_near) {
@@ -69,7 +69,7 @@
 
 /// How a node stands to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CallerKind {
+pub struct NodeRole {
     /// Whether it is in the server's failure domain.
     pub is_near: bool,
     /// Whether it is an owner in its own.
@@ -79,7 +79,7 @@
 /// Connections that a node may have to a server that accepts `limit` from all nodes together;
 /// at least one, since without it the node could not call the server at all. One half is divided
 /// among the owners, which make nearly all calls, and one among all nodes.
-pub fn divide_connections(limit: u32, nodes: CallingNodes, owners: CallingNodes, kind: CallerKind) -> u32 {
+pub fn divide_connections(limit: u32, nodes: NodeCounts, owners: NodeCounts, kind: NodeRole) -> u32 {
     let half = f64::from(limit) * DIVIDED_SHARE / 2.0;
     let owned = if kind.is_owner { half * owners.part_of_one(kind.is_near) } else { 0.0 };
     ((owned + half * nodes.part_of_one(kind.is_near)) as u32).max(1)
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -33,7 +33,7 @@
 }
 
 /// Processor time of a batch of so many shards at the node that has it, on a whole core.
-pub fn batch_work(shards: usize) -> Duration {
+pub fn batch_cpu_time(shards: usize) -> Duration {
     BATCH_WORK + CALL_WORK * shards as u32
 }
 
@@ -56,12 +56,12 @@
     }
 
     /// Whether shards near a node of a power are better handed to these than asked for by itself.
-    pub fn is_worth_asking(&self, shards: usize, target: Duration, own: CoreShare) -> bool {
+    pub fn is_delegation_faster(&self, shards: usize, target: Duration, own: CoreShare) -> bool {
         let batches = self.count_batches(shards, target) as u32;
         let largest = (shards as u32).div_ceil(batches);
         let alone = own.stretch(CALL_WORK * shards as u32);
         let sending = own.stretch(BATCH_WORK * batches);
-        let handed = sending + self.power.stretch(batch_work(largest as usize));
+        let handed = sending + self.power.stretch(batch_cpu_time(largest as usize));
         self.count > 0 && handed < alone.mul_f64(HANDING_SHARE)
     }
 }
--- a/crates/policy/src/feed_rule.rs
+++ b/crates/policy/src/reader_choice.rs
@@ -37,7 +37,7 @@
 
 /// A node that may follow or be followed.
 #[derive(Debug, Clone, Copy)]
-pub struct FeedNode<'a> {
+pub struct ReaderCandidate<'a> {
     /// Its name.
     pub name: &'a str,
     /// The processor it has.
@@ -50,9 +50,9 @@
     /// The nodes, the preferred first; none if it follows the store by itself.
     pub readers: Vec<&'a str>,
     /// How long it waits for one of them when it has just been started.
-    pub patience: Duration,
+    pub startup_wait: Duration,
     /// How long it waits then for one that says that it is about to begin.
-    pub starting_patience: Duration,
+    pub starting_reader_wait: Duration,
     /// Its rank among those that share a reader, 0 for the first and where nobody does.
     pub rank: usize,
 }
@@ -60,9 +60,9 @@
 /// The nodes from which `own` may take the news of the store. The nodes form a tree by rank, the
 /// strong ones first, of which only the root follows the store. Weak nodes follow strong ones. A node only ever follows nodes of a
 /// higher rank, so no two follow each other, whatever each of them knows.
-pub fn choose_readers<'a>(own: &str, domain: &str, nodes: &[FeedNode<'a>]) -> ReaderChoice<'a> {
+pub fn choose_readers<'a>(own: &str, domain: &str, nodes: &[ReaderCandidate<'a>]) -> ReaderChoice<'a> {
     let alone =
-        ReaderChoice { readers: Vec::new(), patience: Duration::ZERO, starting_patience: Duration::ZERO, rank: 0 };
+        ReaderChoice { readers: Vec::new(), startup_wait: Duration::ZERO, starting_reader_wait: Duration::ZERO, rank: 0 };
     if nodes.len() < MIN_SHARING {
         return alone;
     }
@@ -81,11 +81,11 @@
         }
     }
     let readers = readers.into_iter().take(MAX_TRIED).map(|reader| ranked[reader]).collect();
-    let patience = PATIENCE_STEP * rank as u32;
+    let startup_wait = PATIENCE_STEP * rank as u32;
     ReaderChoice {
         readers,
-        patience: patience.min(MAX_PATIENCE),
-        starting_patience: patience.min(MAX_STARTING_PATIENCE),
+        startup_wait: startup_wait.min(MAX_PATIENCE),
+        starting_reader_wait: startup_wait.min(MAX_STARTING_PATIENCE),
         rank,
     }
 }
--- a/crates/policy/src/reader_look.rs
+++ b/crates/policy/src/reader_probe.rs
@@ -17,22 +17,22 @@
 
 /// How long a call to a store that refused the last one waits for a look: a reader begins, or refuses, within a few
 /// milliseconds, and the store is not to be asked noticeably later for one that is silent.
-pub const LOOK_WITHIN: Duration = Duration::from_millis(100);
+pub const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Whether the node of a rank in its failure domain looks for a reader before it asks a store that refused its last
 /// call: the first has none.
-pub fn is_before_asking(rank: usize) -> bool {
+pub fn is_probe_first(rank: usize) -> bool {
     rank > 0
 }
 
 /// The pauses between looks for a reader.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct LookPlan {
+pub struct ProbeSchedule {
     looks: u32,
     was_refused: bool,
 }
 
-impl LookPlan {
+impl ProbeSchedule {
     /// The pause before the next look. Looks begin anew when the store takes calls again: those before this node are
     /// about to follow it.
     pub fn next_pause(&mut self, is_refused: bool) -> Duration {
--- a/crates/policy/src/recent_work.rs
+++ b/crates/policy/src/recent_work.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crate::Moment;
-use crate::crash_book::{CrashSuspect, SURVIVED_AFTER};
+use crate::crash_tracker::{CrashSuspect, SURVIVAL_DELAY};
 
 /// How long after its end a call may still be what ended the server: processes end some 100 ms after a call began,
 /// and the node learns of it a way later.
@@ -60,7 +60,7 @@
     }
 
     fn has_survived(&self, now: Moment, suspect: CrashSuspect) -> bool {
-        let is_long_ago = |ended: &&EndedWork| now.since(ended.at) >= SURVIVED_AFTER;
+        let is_long_ago = |ended: &&EndedWork| now.since(ended.at) >= SURVIVAL_DELAY;
         self.ended.iter().filter(is_long_ago).any(|ended| ended.is_answered && ended.suspect == suspect)
     }
 }
--- a/crates/policy/src/replica.rs
+++ b/crates/policy/src/replica.rs
@@ -153,7 +153,7 @@
     fn slowness(&self, now: Moment, spell: Duration) -> f64 {
         let is_cold = now < self.warm_at && self.mechanisms.has(Mechanism::WarmUp);
         let cold = if is_cold { WARMUP_SLOWNESS } else { 1.0 };
-        let has_word = self.mechanisms.has(Mechanism::ToldPace);
+        let has_word = self.mechanisms.has(Mechanism::ReportedPace);
         let word = if has_word { self.pace.stretch(now, spell) } else { 1.0 };
         if !self.is_measured() {
             return word.max(cold);
@@ -233,7 +233,7 @@
         let is_silent = self.silent_until.is_some_and(|until| now < until);
         let is_resting = now < self.resting_until;
         (is_silent && self.mechanisms.has(Mechanism::SilenceRouting))
-            || (is_resting && self.mechanisms.has(Mechanism::FailureRest))
+            || (is_resting && self.mechanisms.has(Mechanism::FailureBackoff))
     }
 
     /// What a call would cost here, in microseconds, where `typical` is the time such a call
@@ -359,14 +359,14 @@
 
     fn note_refusal(&mut self, now: Moment, gain: f64) {
         self.fade(now);
-        if self.mechanisms.has(Mechanism::RefusalMemory) {
+        if self.mechanisms.has(Mechanism::RefusalPenalty) {
             self.refusals += gain * (1.0 - self.refusals);
         }
     }
 
     /// Notes the load it told: requests it runs and holds waiting, from everybody.
     pub fn learn_load(&mut self, now: Moment, running: u32, waiting: u32) {
-        if self.mechanisms.has(Mechanism::ToldLoad) {
+        if self.mechanisms.has(Mechanism::ReportedLoad) {
             let requests = running.saturating_add(waiting);
             self.load = Some((f64::from(requests), now));
             self.others = Some(OthersLoad::learn(now, requests, self.running()));
--- a/crates/policy/src/come_back.rs
+++ b/crates/policy/src/retry_after.rs
@@ -30,7 +30,7 @@
 
 /// Why a caller is turned away though its request is proper.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TurnReason {
+pub enum RefusalReason {
     /// The node knows no routes yet, or may lack the newest ones.
     RoutesUnknown {
         /// How long the node has run.
@@ -44,12 +44,12 @@
         wait: Duration,
     },
     /// Its team is over its limit, and callers return one after the other.
-    Place {
+    Reserved {
         /// Until the time of its place.
         wait: Duration,
     },
     /// Its team is over its limit, and the next place is further away than it can use.
-    NoPlace {
+    NoReservation {
         /// Until the time of that place.
         wait: Duration,
     },
@@ -66,19 +66,19 @@
 }
 
 /// When the caller may come back; `dice` is 0 to 1.
-pub fn come_back_after(reason: TurnReason, dice: f64) -> Duration {
+pub fn choose_retry_after(reason: RefusalReason, dice: f64) -> Duration {
     let dice = dice.clamp(0.0, 1.0);
     let wait = match reason {
-        TurnReason::RoutesUnknown { uptime } if uptime < START_TIME => (START_TIME - uptime).max(SHORTEST),
-        TurnReason::RoutesUnknown { .. } => WITHOUT_STORE,
-        TurnReason::NoServer => AFTER_SERVERS,
-        TurnReason::OverLimit { wait } => wait.max(SHORTEST),
-        TurnReason::Place { wait } => return wait + PLACE_SPREAD.mul_f64(dice),
-        TurnReason::NoPlace { wait } => return wait.max(SHORTEST).mul_f64(1.0 + (LATEST_SHARE - 1.0) * dice),
+        RefusalReason::RoutesUnknown { uptime } if uptime < START_TIME => (START_TIME - uptime).max(SHORTEST),
+        RefusalReason::RoutesUnknown { .. } => WITHOUT_STORE,
+        RefusalReason::NoServer => AFTER_SERVERS,
+        RefusalReason::OverLimit { wait } => wait.max(SHORTEST),
+        RefusalReason::Reserved { wait } => return wait + PLACE_SPREAD.mul_f64(dice),
+        RefusalReason::NoReservation { wait } => return wait.max(SHORTEST).mul_f64(1.0 + (LATEST_SHARE - 1.0) * dice),
         // Before that time it would be turned away again, whatever the dice say.
-        TurnReason::Overload { wait } => wait.max(SHORTEST).div_f64(EARLIEST_SHARE),
+        RefusalReason::Overload { wait } => wait.max(SHORTEST).div_f64(EARLIEST_SHARE),
         // Another request may be the one that is tried, and its outcome is known a second later.
-        TurnReason::Quarantined { left } => left.max(AFTER_TRIAL),
+        RefusalReason::Quarantined { left } => left.max(AFTER_TRIAL),
     };
     wait.mul_f64(EARLIEST_SHARE + (LATEST_SHARE - EARLIEST_SHARE) * dice)
 }
--- a/crates/policy/src/shard_health.rs
+++ b/crates/policy/src/shard_health.rs
@@ -14,14 +14,14 @@
 
 /// The servers of a service as a node sees them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ServiceStanding {
+pub struct ServiceHealth {
     /// Servers that it is known with.
     pub servers: usize,
     /// Those that may be asked and are not known to be slow.
     pub good: usize,
 }
 
-impl ServiceStanding {
+impl ServiceHealth {
     /// Whether it is short: its good servers are one or none, of more.
     pub fn is_short(self) -> bool {
         self.good <= MOST_GOOD_IF_SHORT && self.good < self.servers
--- a/crates/policy/src/split_rule.rs
+++ b/crates/policy/src/split_rule.rs
@@ -9,20 +9,20 @@
 
 /// The turns of one split at one node.
 #[derive(Debug)]
-pub struct SplitTurns {
+pub struct SplitSelector {
     /// Where this node begins, so that nodes do not move in step.
     start: f64,
     next: AtomicU64,
 }
 
-impl SplitTurns {
+impl SplitSelector {
     /// Turns that begin at a point from 0 to under 1.
     pub fn new(start: f64) -> Self {
         Self { start, next: AtomicU64::new(0) }
     }
 
     /// The position of the weight whose turn it is; `None` if no weight is above 0.
-    pub fn take(&self, weights: &[f64]) -> Option<usize> {
+    pub fn select(&self, weights: &[f64]) -> Option<usize> {
         let turn = self.next.fetch_add(1, Ordering::Relaxed);
         choose_part(weights, (self.start + turn as f64 * STEP).fract())
     }
--- a/crates/policy/src/store_pause.rs
+++ b/crates/policy/src/store_backoff.rs
@@ -20,7 +20,7 @@
 
 /// The pause after so many refused calls in a row, at the node of a rank in its failure domain: 0 where the nodes do
 /// not share a reader.
-pub fn choose_pause(failures: u32, rank: usize) -> Duration {
+pub fn backoff_delay(failures: u32, rank: usize) -> Duration {
     let rank = u32::try_from(rank).unwrap_or(u32::MAX);
     let longest = LONGEST_PAUSE.saturating_add(LONGEST_STEP.saturating_mul(rank)).min(LONGEST_OF_ALL);
     let first = FIRST_PAUSE.saturating_add(FIRST_STEP.saturating_mul(rank));
--- a/crates/policy/src/watch_rule.rs
+++ b/crates/policy/src/watch_timeout.rs
@@ -11,22 +11,22 @@
 
 /// What a watch that is about to begin has to know.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct WatchAsk {
+pub struct WatchProgress {
     /// The number of the last change that the topic is known up to.
-    pub known: u64,
+    pub topic_revision: u64,
     /// The number of the last change of which any answer of the store told.
-    pub told: u64,
+    pub store_revision: u64,
     /// How long a watch may be silent where something may have changed.
     pub silence_within: Duration,
 }
 
 /// How long a watch waits that relies on another one, which is renewed after `silence_within`.
-pub fn choose_wait(ask: &WatchAsk) -> Duration {
+pub fn choose_wait(ask: &WatchProgress) -> Duration {
     if is_overdue(ask, ask.silence_within) { ask.silence_within } else { LONGEST_WAIT }
 }
 
 /// Whether a watch of some age is to be begun anew: something has changed that it did not tell of, and its connection
 /// may have fallen silent.
-pub fn is_overdue(ask: &WatchAsk, age: Duration) -> bool {
-    ask.told > ask.known && age >= ask.silence_within
+pub fn is_overdue(ask: &WatchProgress, age: Duration) -> bool {
+    ask.store_revision > ask.topic_revision && age >= ask.silence_within
 }
--- a/crates/policy/tests/absence.rs
+++ b/crates/policy/tests/absence.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use streamfold_policy::Moment;
-use streamfold_policy::absence::AbsenceBook;
+use streamfold_policy::absence::AbsenceTracker;
 
 const LIMIT: Duration = Duration::from_secs(60);
 
@@ -13,11 +13,11 @@
 
 #[test]
 fn a_node_is_gone_once_no_look_has_reached_it_for_the_limit() {
-    let mut book = AbsenceBook::default();
+    let mut book = AbsenceTracker::default();
     let mut seen = Vec::new();
     // One look in between that reaches it starts the count anew.
     for (second, is_reached) in [(0, false), (30, false), (59, true), (61, false), (120, false), (121, false)] {
-        let gone = book.note_look(at(second), &[("a", is_reached), ("b", true)], false, LIMIT);
+        let gone = book.note_scan(at(second), &[("a", is_reached), ("b", true)], false, LIMIT);
         seen.push(format!("{second} s: {gone:?}"));
     }
     insta::assert_snapshot!(seen.join("\n"), @r#"
@@ -32,12 +32,12 @@
 
 #[test]
 fn a_look_that_reaches_nothing_tells_of_the_looker() {
-    let mut book = AbsenceBook::default();
+    let mut book = AbsenceTracker::default();
     let cut_off: Vec<usize> =
-        (0..=9).map(|look| book.note_look(at(look * 30), &[("a", false), ("b", false)], false, LIMIT).len()).collect();
+        (0..=9).map(|look| book.note_scan(at(look * 30), &[("a", false), ("b", false)], false, LIMIT).len()).collect();
     assert_eq!(cut_off, [0; 10]);
     // Nodes elsewhere are reached: both are gone after the limit, counted from now.
     let gone: Vec<usize> =
-        (10..=13).map(|look| book.note_look(at(look * 30), &[("a", false), ("b", false)], true, LIMIT).len()).collect();
+        (10..=13).map(|look| book.note_scan(at(look * 30), &[("a", false), ("b", false)], true, LIMIT).len()).collect();
     assert_eq!(gone, [0, 0, 2, 2]);
 }
--- a/crates/policy/tests/domain_reach.rs
+++ b/crates/policy/tests/domain_reach.rs
@@ -11,7 +11,7 @@
 
 /// For how many milliseconds from a moment on it is taken for dark.
 fn dark_for(reach: &DomainReach, from: u64) -> u64 {
-    (0..10_000).find(|millis| !reach.is_dark(at(from + millis))).expect("an end")
+    (0..10_000).find(|millis| !reach.is_unreachable(at(from + millis))).expect("an end")
 }
 
 #[test]
@@ -21,7 +21,7 @@
     let mut spans = Vec::new();
     for _ in 0..5 {
         let became: Vec<bool> = ["a", "a", "b", "c", "d"]
-            .map(|who| reach.note_silent(at(now + 120), at(now), who, SilenceContext::Alone))
+            .map(|who| reach.note_overdue(at(now + 120), at(now), who, SilenceContext::NoneUnreachable))
             .into();
         assert_eq!(became, [false, false, false, true, false]);
         let span = dark_for(&reach, now + 120);
@@ -29,49 +29,49 @@
         now += 120 + span;
     }
     insta::assert_debug_snapshot!(spans);
-    reach.note_heard(at(now));
-    assert!(!reach.is_dark(at(now)), "any word ends it");
+    reach.note_contact(at(now));
+    assert!(!reach.is_unreachable(at(now)), "any word ends it");
 }
 
 #[test]
 fn a_word_since_the_call_began_shows_that_only_the_servers_are_slow() {
     let mut reach = DomainReach::default();
-    reach.note_heard(at(120));
+    reach.note_contact(at(120));
     for who in ["a", "b", "c", "d"] {
-        assert!(!reach.note_silent(at(150), at(110), who, SilenceContext::Alone));
+        assert!(!reach.note_overdue(at(150), at(110), who, SilenceContext::NoneUnreachable));
     }
     // Two are overdue, something is heard, two more are overdue.
-    let later = |reach: &mut DomainReach, who| reach.note_silent(at(200), at(160), who, SilenceContext::Alone);
+    let later = |reach: &mut DomainReach, who| reach.note_overdue(at(200), at(160), who, SilenceContext::NoneUnreachable);
     assert!(!later(&mut reach, "a") && !later(&mut reach, "b"));
-    reach.note_heard(at(170));
+    reach.note_contact(at(170));
     assert!(
-        !reach.note_silent(at(210), at(180), "c", SilenceContext::Alone)
-            && !reach.note_silent(at(210), at(180), "d", SilenceContext::Alone)
+        !reach.note_overdue(at(210), at(180), "c", SilenceContext::NoneUnreachable)
+            && !reach.note_overdue(at(210), at(180), "d", SilenceContext::NoneUnreachable)
     );
-    assert!(!reach.is_dark(at(210)));
+    assert!(!reach.is_unreachable(at(210)));
 }
 
 #[test]
 fn a_dark_one_stays_so_while_nobody_there_gives_a_sign() {
     let mut reach = DomainReach::default();
-    reach.note_no_sign(at(50));
-    assert!(!reach.is_dark(at(50)), "a single node that is silent tells nothing of the others");
+    reach.note_probe_failure(at(50));
+    assert!(!reach.is_unreachable(at(50)), "a single node that is silent tells nothing of the others");
     for who in ["a", "b", "c"] {
-        reach.note_silent(at(160), at(60), who, SilenceContext::Alone);
+        reach.note_overdue(at(160), at(60), who, SilenceContext::NoneUnreachable);
     }
     for asked in (200..3_000).step_by(250) {
-        reach.note_no_sign(at(asked));
-        assert!(reach.is_dark(at(asked + 500)));
+        reach.note_probe_failure(at(asked));
+        assert!(reach.is_unreachable(at(asked + 500)));
     }
     assert_eq!(dark_for(&reach, 2_950), 800);
-    reach.note_heard(at(3_000));
-    assert!(!reach.is_dark(at(3_000)));
+    reach.note_contact(at(3_000));
+    assert!(!reach.is_unreachable(at(3_000)));
 }
 
 #[test]
 fn beside_another_dark_one_two_are_enough() {
     let mut reach = DomainReach::default();
-    let mut became = |who| reach.note_silent(at(100), at(60), who, SilenceContext::BesideDark);
+    let mut became = |who| reach.note_overdue(at(100), at(60), who, SilenceContext::OtherUnreachable);
     assert_eq!([became("a"), became("a"), became("b")], [false, false, true]);
 }
 
@@ -79,18 +79,18 @@
 fn a_first_call_to_another_region_has_time_to_come_back() {
     let mut reach = DomainReach::default();
     for who in ["a", "b", "c"] {
-        reach.note_silent(at(90), at(60), who, SilenceContext::Alone);
+        reach.note_overdue(at(90), at(60), who, SilenceContext::NoneUnreachable);
     }
-    assert!(!reach.is_dark(at(159)), "nothing heard for 99 ms");
-    assert!(reach.is_dark(at(160)));
-    reach.note_heard(at(161));
-    assert!(!reach.is_dark(at(161)));
+    assert!(!reach.is_unreachable(at(159)), "nothing heard for 99 ms");
+    assert!(reach.is_unreachable(at(160)));
+    reach.note_contact(at(161));
+    assert!(!reach.is_unreachable(at(161)));
 }
 
 #[test]
 fn silence_long_ago_does_not_count_with_that_of_now() {
     let mut reach = DomainReach::default();
-    let mut became = |now: u64, who| reach.note_silent(at(now + 100), at(now), who, SilenceContext::Alone);
+    let mut became = |now: u64, who| reach.note_overdue(at(now + 100), at(now), who, SilenceContext::NoneUnreachable);
     assert_eq!([became(10, "a"), became(20, "b"), became(700, "c"), became(710, "d")], [false; 4]);
     assert!(became(720, "e"), "three within half a second");
 }
--- a/crates/policy/tests/mechanism.rs
+++ b/crates/policy/tests/mechanism.rs
@@ -23,9 +23,9 @@
 
 #[test]
 fn each_belief_can_be_left_out_of_the_cost() {
-    use Mechanism::{FailureRest, RefusalMemory, ToldLoad, WarmUp};
-    let lines = [vec![], vec![FailureRest], vec![FailureRest, RefusalMemory], vec![FailureRest, ToldLoad]];
-    let more = [vec![FailureRest, WarmUp], vec![FailureRest, WarmUp, ToldLoad, RefusalMemory]];
+    use Mechanism::{FailureBackoff, RefusalPenalty, ReportedLoad, WarmUp};
+    let lines = [vec![], vec![FailureBackoff], vec![FailureBackoff, RefusalPenalty], vec![FailureBackoff, ReportedLoad]];
+    let more = [vec![FailureBackoff, WarmUp], vec![FailureBackoff, WarmUp, ReportedLoad, RefusalPenalty]];
     let told = lines.iter().chain(&more).map(|without| format!("{without:?}: {:.0}", cost_without(without)));
     insta::assert_snapshot!(told.collect::<Vec<_>>().join("\n"));
 }
--- a/crates/policy/tests/owner.rs
+++ b/crates/policy/tests/owner.rs
@@ -1,11 +1,11 @@
 //! Which nodes own what, and what they may take of a server's connections.
 
 use quickcheck::quickcheck;
-use streamfold_policy::owner::{CallerKind, CallingNodes, choose_owners, divide_connections, group_by_owner};
+use streamfold_policy::owner::{NodeRole, NodeCounts, choose_owners, divide_connections, group_by_owner};
 
 /// Connections of all nodes together, where `owners` are some of `nodes`.
-fn sum_up(limit: u32, nodes: CallingNodes, owners: CallingNodes) -> usize {
-    let share = |is_near, is_owner| divide_connections(limit, nodes, owners, CallerKind { is_near, is_owner }) as usize;
+fn sum_up(limit: u32, nodes: NodeCounts, owners: NodeCounts) -> usize {
+    let share = |is_near, is_owner| divide_connections(limit, nodes, owners, NodeRole { is_near, is_owner }) as usize;
     let near = owners.near * share(true, true) + (nodes.near - owners.near) * share(true, false);
     let far = owners.far * share(false, true) + (nodes.far - owners.far) * share(false, false);
     near + far
@@ -13,8 +13,8 @@
 
 quickcheck! {
     fn all_nodes_together_keep_the_limit_as_far_as_each_may_have_one(limit: u16, near: u8, far: u8, owners: (u8, u8)) -> bool {
-        let nodes = CallingNodes { near: usize::from(near), far: usize::from(far) };
-        let owners = CallingNodes {
+        let nodes = NodeCounts { near: usize::from(near), far: usize::from(far) };
+        let owners = NodeCounts {
             near: usize::from(owners.0).min(nodes.near),
             far: usize::from(owners.1).min(nodes.far),
         };
@@ -26,17 +26,17 @@
 
 #[test]
 fn where_all_nodes_are_owners_each_has_an_equal_part() {
-    let nodes = CallingNodes { near: 3, far: 4 };
+    let nodes = NodeCounts { near: 3, far: 4 };
     let shares =
-        [true, false].map(|is_near| divide_connections(26, nodes, nodes, CallerKind { is_near, is_owner: true }));
+        [true, false].map(|is_near| divide_connections(26, nodes, nodes, NodeRole { is_near, is_owner: true }));
     assert_eq!(shares, [3, 2]);
 }
 
 #[test]
 fn owners_have_most_connections_and_every_node_one() {
-    let nodes = CallingNodes { near: 48, far: 247 };
-    let owners = CallingNodes { near: 3, far: 15 };
-    let share = |is_near, is_owner| divide_connections(175, nodes, owners, CallerKind { is_near, is_owner });
+    let nodes = NodeCounts { near: 48, far: 247 };
+    let owners = NodeCounts { near: 3, far: 15 };
+    let share = |is_near, is_owner| divide_connections(175, nodes, owners, NodeRole { is_near, is_owner });
     assert_eq!([share(true, true), share(false, true), share(true, false), share(false, false)], [13, 2, 1, 1]);
 }
 
--- a/crates/policy/tests/pace.rs
+++ b/crates/policy/tests/pace.rs
@@ -63,6 +63,6 @@
     let all = MechanismSet::default();
     assert_eq!([0, 300, 3_000].map(|age| choose(all, SECOND, age)), ["far", "far", "near"]);
     assert_eq!([0, 300, 3_000].map(|age| choose(all, 8 * SECOND, age)), ["far", "far", "far"]);
-    let without = MechanismSet::without(&[Mechanism::ToldPace]);
+    let without = MechanismSet::without(&[Mechanism::ReportedPace]);
     assert_eq!(choose(without, SECOND, 0), "near");
 }
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -42,9 +42,9 @@
 #[test]
 fn weak_nodes_hand_even_near_shards_on_and_equal_ones_keep_them() {
     let weak = CoreShare(120);
-    assert!(group(3, 500).is_worth_asking(90, TARGET, weak));
-    assert!(group(3, 500).is_worth_asking(18, TARGET, weak));
-    assert!(!group(3, 500).is_worth_asking(2, TARGET, weak), "the batch costs more than the calls");
-    assert!(!group(3, 250).is_worth_asking(20, TARGET, CoreShare(250)));
-    assert!(!group(0, 500).is_worth_asking(90, TARGET, weak), "there is nobody to ask");
+    assert!(group(3, 500).is_delegation_faster(90, TARGET, weak));
+    assert!(group(3, 500).is_delegation_faster(18, TARGET, weak));
+    assert!(!group(3, 500).is_delegation_faster(2, TARGET, weak), "the batch costs more than the calls");
+    assert!(!group(3, 250).is_delegation_faster(20, TARGET, CoreShare(250)));
+    assert!(!group(0, 500).is_delegation_faster(90, TARGET, weak), "there is nobody to ask");
 }
--- a/crates/policy/tests/feed_rule.rs
+++ b/crates/policy/tests/reader_choice.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use streamfold_model::CoreShare;
-use streamfold_policy::feed_rule::{self, FeedNode, ReaderChoice};
+use streamfold_policy::reader_choice::{self, ReaderCandidate, ReaderChoice};
 
 fn nodes(count: usize) -> Vec<String> {
     (0..count).map(|number| format!("node-{number}")).collect()
@@ -11,8 +11,8 @@
 
 /// The choice among nodes that are equally strong.
 fn choose<'a>(own: &str, names: &[&'a str]) -> ReaderChoice<'a> {
-    let nodes: Vec<FeedNode> = names.iter().map(|name| FeedNode { name, power: None }).collect();
-    feed_rule::choose_readers(own, "zone-a", &nodes)
+    let nodes: Vec<ReaderCandidate> = names.iter().map(|name| ReaderCandidate { name, power: None }).collect();
+    reader_choice::choose_readers(own, "zone-a", &nodes)
 }
 
 fn choose_readers<'a>(own: &str, names: &[&'a str]) -> Vec<&'a str> {
@@ -103,9 +103,9 @@
     let all = nodes(48);
     let names = names(&all);
     let power = |position: usize| if position < 3 { CoreShare(500) } else { CoreShare(120) };
-    let nodes: Vec<FeedNode> =
-        names.iter().enumerate().map(|(position, name)| FeedNode { name, power: Some(power(position)) }).collect();
-    let preferred = |own: &str| feed_rule::choose_readers(own, "zone-a", &nodes).readers.first().copied();
+    let nodes: Vec<ReaderCandidate> =
+        names.iter().enumerate().map(|(position, name)| ReaderCandidate { name, power: Some(power(position)) }).collect();
+    let preferred = |own: &str| reader_choice::choose_readers(own, "zone-a", &nodes).readers.first().copied();
     let readers: std::collections::BTreeSet<&str> = names.iter().filter_map(|own| preferred(own)).collect();
     assert_eq!(readers, std::collections::BTreeSet::from(["node-0", "node-1", "node-2"]));
 }
@@ -114,7 +114,7 @@
 fn of_nodes_that_start_together_only_the_first_ones_lose_patience_soon() {
     let all = nodes(48);
     let names = names(&all);
-    let mut waits: Vec<Duration> = names.iter().map(|own| choose(own, &names).patience).collect();
+    let mut waits: Vec<Duration> = names.iter().map(|own| choose(own, &names).startup_wait).collect();
     waits.sort_unstable();
     let soon = waits.iter().filter(|wait| **wait < Duration::from_millis(400)).count();
     assert_eq!((waits[0], soon, waits[47]), (Duration::ZERO, 4, Duration::from_millis(1_200)));
@@ -131,17 +131,17 @@
     // A failure domain of the largest deployment, and twice as many nodes.
     for (strong, weak) in [(10, 180), (20, 360), (10, 320)] {
         let all = mixed(strong, weak);
-        let nodes: Vec<FeedNode> = all.iter().map(|(name, power)| FeedNode { name, power: Some(*power) }).collect();
+        let nodes: Vec<ReaderCandidate> = all.iter().map(|(name, power)| ReaderCandidate { name, power: Some(*power) }).collect();
         let mut followers = std::collections::BTreeMap::new();
         let mut longest = 0;
         for (own, _) in &all {
-            let mut reader = feed_rule::choose_readers(own, "zone-a", &nodes).readers.first().copied();
+            let mut reader = reader_choice::choose_readers(own, "zone-a", &nodes).readers.first().copied();
             let mut steps = 0;
             if let Some(reader) = reader {
                 *followers.entry(reader).or_insert(0) += 1;
             }
             while let Some(name) = reader {
-                reader = feed_rule::choose_readers(name, "zone-a", &nodes).readers.first().copied();
+                reader = reader_choice::choose_readers(name, "zone-a", &nodes).readers.first().copied();
                 steps += 1;
             }
             longest = longest.max(steps);
@@ -155,11 +155,11 @@
 #[test]
 fn who_hears_that_a_reader_is_about_to_begin_waits_by_its_rank() {
     let all = mixed(10, 180);
-    let nodes: Vec<FeedNode> = all.iter().map(|(name, power)| FeedNode { name, power: Some(*power) }).collect();
-    let waits = all.iter().map(|(own, _)| feed_rule::choose_readers(own, "zone-a", &nodes).starting_patience);
+    let nodes: Vec<ReaderCandidate> = all.iter().map(|(name, power)| ReaderCandidate { name, power: Some(*power) }).collect();
+    let waits = all.iter().map(|(own, _)| reader_choice::choose_readers(own, "zone-a", &nodes).starting_reader_wait);
     let mut waits: Vec<Duration> = waits.collect();
     waits.sort_unstable();
     // A listing of seconds is taken from the store by so many nodes and no more.
     let early = waits.iter().filter(|wait| **wait < Duration::from_secs(2)).count();
-    assert!(early <= 16, "{early} of {} nodes lose patience within two seconds", waits.len());
+    assert!(early <= 16, "{early} of {} nodes lose startup_wait within two seconds", waits.len());
 }
--- a/crates/policy/tests/reader_look.rs
+++ b/crates/policy/tests/reader_probe.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use streamfold_policy::reader_look::{LOOK_WITHIN, LookPlan, is_before_asking};
-use streamfold_policy::store_pause::choose_pause;
+use streamfold_policy::reader_probe::{PROBE_TIMEOUT, ProbeSchedule, is_probe_first};
+use streamfold_policy::store_backoff::backoff_delay;
 
 /// The pauses of a node, by whether the store refuses calls.
 fn pauses(is_refused: &[bool]) -> Vec<Duration> {
-    let mut plan = LookPlan::default();
+    let mut plan = ProbeSchedule::default();
     is_refused.iter().map(|is_refused| plan.next_pause(*is_refused)).collect()
 }
 
@@ -26,7 +26,7 @@
 
 #[test]
 fn all_but_the_first_node_look_before_they_ask_again() {
-    assert!(!is_before_asking(0));
-    assert!((1..20).all(is_before_asking));
-    assert!((1..20).all(|rank| LOOK_WITHIN < choose_pause(0, rank)), "a look is short beside the pause");
+    assert!(!is_probe_first(0));
+    assert!((1..20).all(is_probe_first));
+    assert!((1..20).all(|rank| PROBE_TIMEOUT < backoff_delay(0, rank)), "a look is short beside the pause");
 }
--- a/crates/policy/tests/recent_work.rs
+++ b/crates/policy/tests/recent_work.rs
@@ -4,7 +4,7 @@
 
 use streamfold_model::ContentId;
 use streamfold_policy::Moment;
-use streamfold_policy::crash_book::{CrashSuspect, SURVIVED_AFTER};
+use streamfold_policy::crash_tracker::{CrashSuspect, SURVIVAL_DELAY};
 use streamfold_policy::recent_work::{LATELY, RecentWork};
 
 fn at(millis: u64) -> Moment {
@@ -14,7 +14,7 @@
 #[test]
 fn calls_under_way_and_those_that_have_just_ended_count_each_once() {
     let mut work = RecentWork::default();
-    let [long, twice, old] = [1, 2, 3].map(|content| CrashSuspect { content: ContentId(content), is_lone: true });
+    let [long, twice, old] = [1, 2, 3].map(|content| CrashSuspect { content: ContentId(content), is_single_service: true });
     work.note_start(old);
     work.note_end(at(0), old, false);
     work.note_start(long);
@@ -32,19 +32,19 @@
 #[test]
 fn what_a_server_has_lived_through_before_is_no_suspect() {
     let mut work = RecentWork::default();
-    let [popular, new] = [1, 2].map(|content| CrashSuspect { content: ContentId(content), is_lone: true });
+    let [popular, new] = [1, 2].map(|content| CrashSuspect { content: ContentId(content), is_single_service: true });
     work.note_start(popular);
     work.note_end(at(0), popular, true);
     work.note_start(popular);
     work.note_start(new);
     assert_eq!(work.suspects(at(100)), [popular, new], "it may still end under the first");
-    assert_eq!(work.suspects(at(0).plus(SURVIVED_AFTER)), [new]);
+    assert_eq!(work.suspects(at(0).plus(SURVIVAL_DELAY)), [new]);
 }
 
 #[test]
 fn a_call_that_was_answered_before_the_server_ended_is_no_suspect() {
     let mut work = RecentWork::default();
-    let [answered, lost] = [1, 2].map(|content| CrashSuspect { content: ContentId(content), is_lone: true });
+    let [answered, lost] = [1, 2].map(|content| CrashSuspect { content: ContentId(content), is_single_service: true });
     for suspect in [answered, lost] {
         work.note_start(suspect);
         work.note_end(at(0), suspect, suspect == answered);
--- a/crates/policy/tests/shard_health.rs
+++ b/crates/policy/tests/shard_health.rs
@@ -4,14 +4,14 @@
 
 use quickcheck::quickcheck;
 use streamfold_model::ServiceName;
-use streamfold_policy::shard_health::{ServiceStanding, ShortageChange, ShortageList};
+use streamfold_policy::shard_health::{ServiceHealth, ShortageChange, ShortageList};
 
 fn names(names: &[&str]) -> BTreeSet<ServiceName> {
     names.iter().map(|name| name.parse().expect("a name")).collect()
 }
 
-fn standing(servers: usize, good: usize) -> ServiceStanding {
-    ServiceStanding { servers, good }
+fn standing(servers: usize, good: usize) -> ServiceHealth {
+    ServiceHealth { servers, good }
 }
 
 #[test]
--- a/crates/policy/tests/split_rule.rs
+++ b/crates/policy/tests/split_rule.rs
@@ -1,14 +1,14 @@
 //! Shares of the services of a split.
 
 use quickcheck::quickcheck;
-use streamfold_policy::split_rule::{SplitTurns, choose_part};
+use streamfold_policy::split_rule::{SplitSelector, choose_part};
 
 /// How often each of some weights has its turn.
 fn count_turns(weights: &[f64], start: f64, turns: usize) -> Vec<usize> {
-    let split = SplitTurns::new(start);
+    let split = SplitSelector::new(start);
     let mut counts = vec![0; weights.len()];
     for _ in 0..turns {
-        counts[split.take(weights).expect("a part")] += 1;
+        counts[split.select(weights).expect("a part")] += 1;
     }
     counts
 }
@@ -22,8 +22,8 @@
 
 #[test]
 fn a_split_without_weight_has_no_part() {
-    assert_eq!(SplitTurns::new(0.5).take(&[]), None);
-    assert_eq!(SplitTurns::new(0.5).take(&[0.0, 0.0]), None);
+    assert_eq!(SplitSelector::new(0.5).select(&[]), None);
+    assert_eq!(SplitSelector::new(0.5).select(&[0.0, 0.0]), None);
     assert_eq!(choose_part(&[0.0, 1.0, 0.0], 0.999_999), Some(1));
 }
 
--- a/crates/policy/tests/store_pause.rs
+++ b/crates/policy/tests/store_backoff.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use streamfold_policy::store_pause::choose_pause;
+use streamfold_policy::store_backoff::backoff_delay;
 
 /// Calls of the node of a rank while the store is away.
 fn count_calls(rank: usize, away: Duration) -> u32 {
@@ -10,7 +10,7 @@
     (0..)
         .take_while(|calls| {
             let asks = at < away;
-            at += choose_pause(*calls, rank);
+            at += backoff_delay(*calls, rank);
             asks
         })
         .count() as u32
@@ -28,16 +28,16 @@
 
 #[test]
 fn the_first_node_asks_as_soon_as_a_node_alone() {
-    let pauses: Vec<Duration> = (0..6).map(|failures| choose_pause(failures, 0)).collect();
+    let pauses: Vec<Duration> = (0..6).map(|failures| backoff_delay(failures, 0)).collect();
     insta::assert_snapshot!(format!("{pauses:?}"), @"[100ms, 200ms, 400ms, 800ms, 800ms, 800ms]");
 }
 
 quickcheck::quickcheck! {
     fn no_pause_is_over_three_seconds_and_none_shrinks_with_rank_or_failures(failures: u8, rank: u16) -> bool {
         let (failures, rank) = (u32::from(failures), usize::from(rank));
-        let pause = choose_pause(failures, rank);
+        let pause = backoff_delay(failures, rank);
         pause <= Duration::from_secs(3)
-            && pause <= choose_pause(failures + 1, rank)
-            && pause <= choose_pause(failures, rank + 1)
+            && pause <= backoff_delay(failures + 1, rank)
+            && pause <= backoff_delay(failures, rank + 1)
     }
 }
--- a/crates/policy/tests/turn_book.rs
+++ b/crates/policy/tests/turn_book.rs
@@ -8,7 +8,7 @@
 use quickcheck::quickcheck;
 use streamfold_model::{ContentId, TeamName, UsageLimit};
 use streamfold_policy::Moment;
-use streamfold_policy::come_back::{TurnReason, come_back_after, usable_wait};
+use streamfold_policy::retry_after::{RefusalReason, choose_retry_after, usable_wait};
 use streamfold_policy::turn_book::{PlaceOffer, TurnAsk, TurnBook};
 use streamfold_policy::usage_credit::{CreditAnswer, CreditPools, DomainCredits, UsageAllowance};
 
@@ -147,7 +147,7 @@
             CreditAnswer::Place(PlaceOffer { wait, is_given }) => {
                 outcome.in_vain += usize::from(arrival.is_told);
                 outcome.too_far += usize::from(!is_given);
-                let told = come_back_after(TurnReason::Place { wait }, dice.roll());
+                let told = choose_retry_after(RefusalReason::Reserved { wait }, dice.roll());
                 let at = answered.plus(told).plus(RETURN_WAY).plus(OWN_PAUSE.mul_f64(dice.roll()));
                 if is_given {
                     arrivals.push(Reverse(Arrival { at, is_told: true, ..arrival }));
@@ -366,7 +366,7 @@
         waits.into_iter().all(|wait| {
             let caller = Caller { number: 0, usable: Duration::from_millis(u64::from(wait)) };
             let offer = book.offer(BEGIN, Duration::from_millis(30), f64::from(rate) + 0.1, &caller.ask());
-            let told = come_back_after(TurnReason::Place { wait: offer.wait }, f64::from(dice) / 255.0);
+            let told = choose_retry_after(RefusalReason::Reserved { wait: offer.wait }, f64::from(dice) / 255.0);
             let is_in_order = offer.wait >= last;
             last = if offer.is_given { offer.wait } else { last };
             is_in_order && told >= offer.wait && told <= offer.wait + Duration::from_millis(1)
--- a/crates/policy/tests/watch_rule.rs
+++ b/crates/policy/tests/watch_timeout.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use streamfold_policy::watch_rule::{LONGEST_WAIT, WatchAsk, choose_wait, is_overdue};
+use streamfold_policy::watch_timeout::{LONGEST_WAIT, WatchProgress, choose_wait, is_overdue};
 
 const SILENCE: Duration = Duration::from_secs(6);
 
-fn ask(known: u64, told: u64) -> WatchAsk {
-    WatchAsk { known, told, silence_within: SILENCE }
+fn ask(known: u64, told: u64) -> WatchProgress {
+    WatchProgress { topic_revision: known, store_revision: told, silence_within: SILENCE }
 }
 
 /// Watches that a topic begins in a time in which the store tells of changes of other topics at some seconds; each
--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{HeaderValue, Response, StatusCode, header};
 use http_body_util::Full;
-use streamfold_policy::come_back::{TurnReason, come_back_after};
+use streamfold_policy::retry_after::{RefusalReason, choose_retry_after};
 
 use crate::border::CallFormat;
 
@@ -37,18 +37,18 @@
 
 impl RefusalKind {
     /// A refusal of a request that did not run, with a time to come back.
-    pub fn not_run(reason: TurnReason) -> Self {
-        Self::NotRun(come_back_after(reason, rand::random()))
+    pub fn not_run(reason: RefusalReason) -> Self {
+        Self::NotRun(choose_retry_after(reason, rand::random()))
     }
 
     /// A refusal of a request that is held off for so long.
     pub fn quarantined(left: Duration) -> Self {
-        Self::Quarantined(come_back_after(TurnReason::Quarantined { left }, rand::random()))
+        Self::Quarantined(choose_retry_after(RefusalReason::Quarantined { left }, rand::random()))
     }
 
     /// A refusal of a request whose team is over its limit.
-    pub fn over_limit(reason: TurnReason) -> Self {
-        Self::OverLimit(come_back_after(reason, rand::random()))
+    pub fn over_limit(reason: RefusalReason) -> Self {
+        Self::OverLimit(choose_retry_after(reason, rand::random()))
     }
 
     /// Whether it is certain that the request reached no server.
--- a/crates/router/src/attempt_context.rs
+++ b/crates/router/src/attempt_context.rs
@@ -8,8 +8,8 @@
 use futures_util::future::BoxFuture;
 use futures_util::stream::FuturesUnordered;
 use streamfold_model::{FailureDomain, HomeRegions, Priority, RouteKind, RouteSpec, ServerId, ServiceName, TeamSpec};
-use streamfold_policy::canary::{CallRight, RequestFate};
-use streamfold_policy::crash_book::ContentStanding;
+use streamfold_policy::canary::{CallPermission, RequestVerdict};
+use streamfold_policy::crash_tracker::ContentStatus;
 use streamfold_policy::replica::Distance;
 use streamfold_policy::{Mechanism, Moment};
 
@@ -171,9 +171,9 @@
         // What ended the servers that ran it ends the next one too, under whatever request id it comes.
         let right = self.call_right();
         match right {
-            CallRight::Free | CallRight::First => {}
-            CallRight::Never if !self.canary.is_undecided(self.standing()) => return Err(AttemptStop::Quarantined),
-            CallRight::Wait | CallRight::Never => {
+            CallPermission::Allowed | CallPermission::AsCanary => {}
+            CallPermission::Denied if !self.canary.is_undecided(self.standing()) => return Err(AttemptStop::Quarantined),
+            CallPermission::Wait | CallPermission::Denied => {
                 attempts.canary_at = Some(self.now().plus(CANARY_LOOK));
                 return Err(AttemptStop::Canary);
             }
@@ -193,7 +193,7 @@
             return Err(AttemptStop::Budget);
         }
         match right {
-            CallRight::First => self.canary.note_sent(self.now(), &server),
+            CallPermission::AsCanary => self.canary.note_sent(self.now(), &server),
             _ => self.canary.note_free(),
         }
         attempts.sent += 1;
@@ -240,20 +240,20 @@
     }
 
     /// How what the request asks for is treated now.
-    fn standing(&self) -> ContentStanding {
+    fn standing(&self) -> ContentStatus {
         self.router.cluster.quarantine.standing(self.now(), self.request.suspect.content)
     }
 
     /// Whether a call may be sent, by what is known of what the request asks for.
-    fn call_right(&self) -> CallRight {
+    fn call_right(&self) -> CallPermission {
         self.canary.right(self.now(), self.standing(), self.route.target_latency.max(MIN_CANARY_PATIENCE))
     }
 
     /// What becomes of the request's calls under way, by what is known of what it asks for.
-    pub(crate) fn fate(&self) -> RequestFate {
+    pub(crate) fn fate(&self) -> RequestVerdict {
         let standing = self.standing();
-        if standing == ContentStanding::Clear {
-            return RequestFate::GoesOn;
+        if standing == ContentStatus::Clear {
+            return RequestVerdict::Continue;
         }
         let usual = self.times.typical(Distance::Far, self.route.target_latency);
         self.canary.fate(standing, self.now().since(self.request.started), usual)
@@ -261,7 +261,7 @@
 
     /// Whether the request may send any number of calls at once.
     pub(crate) fn is_free(&self) -> bool {
-        self.call_right() == CallRight::Free
+        self.call_right() == CallPermission::Allowed
     }
 
     /// Notes how a call ended, for what is known of what the request asks for.
--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -7,7 +7,7 @@
 
 use streamfold_model::{ServerId, ServerRun, ServiceName};
 use streamfold_policy::Moment;
-use streamfold_policy::domain_reach::LEAST_SILENCE;
+use streamfold_policy::domain_reach::MIN_SILENCE;
 use streamfold_policy::replica::Distance;
 use streamfold_policy::server_bound::ServerRights;
 
@@ -56,7 +56,7 @@
 
 impl SilenceWatch {
     fn ends_at(&self) -> Moment {
-        self.started.plus(LEAST_SILENCE)
+        self.started.plus(MIN_SILENCE)
     }
 }
 
--- a/crates/router/src/caller_team.rs
+++ b/crates/router/src/caller_team.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use streamfold_model::{RouteSpec, TeamDirectory, TeamSpec};
-use streamfold_policy::come_back::TurnReason;
+use streamfold_policy::retry_after::RefusalReason;
 
 use crate::answer::RefusalKind;
 use crate::border::{FeedTopic, ShownKey};
@@ -19,7 +19,7 @@
     route: &RouteSpec,
     shown: ShownKey,
 ) -> Result<Option<Arc<TeamSpec>>, RefusalKind> {
-    let unknown = || RefusalKind::not_run(TurnReason::RoutesUnknown { uptime: router.uptime() });
+    let unknown = || RefusalKind::not_run(RefusalReason::RoutesUnknown { uptime: router.uptime() });
     let unfollowed = router.unfollowed_for(FeedTopic::Routes);
     let strict = router.settings.keys.filter(|keys| keys.strict == Some(true));
     let are_keys_lost = strict.is_some_and(|keys| unfollowed > keys.within.0);
--- a/crates/router/src/canary.rs
+++ b/crates/router/src/canary.rs
@@ -5,8 +5,8 @@
 
 use streamfold_model::ContentId;
 use streamfold_policy::Moment;
-use streamfold_policy::canary::{CallRight, CanaryEnd, CanaryRecord, RequestFate};
-use streamfold_policy::crash_book::ContentStanding;
+use streamfold_policy::canary::{CallPermission, CanaryOutcome, CanaryRecord, RequestVerdict};
+use streamfold_policy::crash_tracker::ContentStatus;
 
 use crate::call::{CallFailure, EndedCall, ServerReply};
 use crate::router::Router;
@@ -51,7 +51,7 @@
     }
 
     /// Whether a call may be sent; `patience` is how long the first one may take.
-    pub fn right(&self, now: Moment, standing: ContentStanding, patience: Duration) -> CallRight {
+    pub fn right(&self, now: Moment, standing: ContentStatus, patience: Duration) -> CallPermission {
         let mut state = self.state();
         let CanaryState { record, lost } = &mut *state;
         lost.retain(|call| {
@@ -61,17 +61,17 @@
             }
             !is_alive
         });
-        record.right(now, standing, patience)
+        record.permission(now, standing, patience)
     }
 
     /// Whether another request may yet turn out to be what ended the servers.
-    pub fn is_undecided(&self, standing: ContentStanding) -> bool {
+    pub fn is_undecided(&self, standing: ContentStatus) -> bool {
         self.state().record.is_undecided(standing)
     }
 
     /// What becomes of the calls under way of a request that was begun `age` ago, where calls take `usual`.
-    pub fn fate(&self, standing: ContentStanding, age: Duration, usual: Duration) -> RequestFate {
-        self.state().record.fate(standing, age, usual)
+    pub fn fate(&self, standing: ContentStatus, age: Duration, usual: Duration) -> RequestVerdict {
+        self.state().record.verdict(standing, age, usual)
     }
 
     /// Whether a second call may go round one that is overdue.
@@ -86,7 +86,7 @@
 
     /// Notes that a call is sent while nothing speaks against the request.
     pub fn note_free(&self) {
-        self.state().record.note_free();
+        self.state().record.note_unrestricted();
     }
 
     /// Notes that a server answered the request.
@@ -116,19 +116,19 @@
             return;
         }
         let end = read_end(&ended.result);
-        record.note_end(end);
-        if record.is_trial && end == CanaryEnd::Answered {
+        record.note_outcome(end);
+        if record.is_trial && end == CanaryOutcome::Answered {
             tokio::spawn(watch_trial(router.clone(), content, self.clone(), ended.server.clone()));
         }
     }
 }
 
-fn read_end(result: &Result<ServerReply, CallFailure>) -> CanaryEnd {
+fn read_end(result: &Result<ServerReply, CallFailure>) -> CanaryOutcome {
     match result {
-        Ok(reply) if reply.proof.is_some() && !reply.status.is_server_error() => CanaryEnd::Answered,
-        Err(CallFailure::NotSent) => CanaryEnd::NotSent,
-        Err(CallFailure::NotRun) => CanaryEnd::NotRun,
-        Ok(_) | Err(CallFailure::ConnectionLost | CallFailure::Unknown) => CanaryEnd::Lost,
+        Ok(reply) if reply.proof.is_some() && !reply.status.is_server_error() => CanaryOutcome::Answered,
+        Err(CallFailure::NotSent) => CanaryOutcome::NotSent,
+        Err(CallFailure::NotRun) => CanaryOutcome::NotRun,
+        Ok(_) | Err(CallFailure::ConnectionLost | CallFailure::Unknown) => CanaryOutcome::Lost,
     }
 }
 
--- a/crates/router/src/cluster_parts.rs
+++ b/crates/router/src/cluster_parts.rs
@@ -12,7 +12,7 @@
 use streamfold_policy::extra_budget::ExtraBudget;
 use streamfold_policy::owner::choose_owners;
 use streamfold_policy::placement;
-use streamfold_policy::split_rule::SplitTurns;
+use streamfold_policy::split_rule::SplitSelector;
 
 use crate::call_line::CallLine;
 use crate::call_waits::CallWaits;
@@ -45,7 +45,7 @@
     /// Services that requests of different priority use.
     mixed: Arc<HashSet<ServiceName>>,
     times: HashMap<RouteName, RouteTimes>,
-    turns: HashMap<RouteName, Arc<SplitTurns>>,
+    turns: HashMap<RouteName, Arc<SplitSelector>>,
     /// How long servers stay slow.
     spells: Arc<SpellBook>,
     /// Failure domains that have, or had, servers or nodes.
@@ -183,7 +183,7 @@
         let mut old = std::mem::take(&mut self.turns);
         let mut keep = |name: &RouteName| {
             let known = old.remove(name);
-            known.unwrap_or_else(|| Arc::new(SplitTurns::new(rand::random())))
+            known.unwrap_or_else(|| Arc::new(SplitSelector::new(rand::random())))
         };
         let is_split = |route: &&Arc<RouteSpec>| matches!(&route.target, RouteTarget::One(parts) if parts.len() > 1);
         let splits = table.routes().iter().filter(is_split);
--- a/crates/router/src/cluster_view.rs
+++ b/crates/router/src/cluster_view.rs
@@ -8,11 +8,11 @@
 use streamfold_policy::budget_share::{BudgetNode, BudgetNodes, divide_allowance};
 use streamfold_policy::cold_limit::{ColdBound, deal_calls};
 use streamfold_policy::extra_budget::ExtraBudget;
-use streamfold_policy::owner::{CallerKind, CallingNodes, divide_connections};
+use streamfold_policy::owner::{NodeRole, NodeCounts, divide_connections};
 use streamfold_policy::replica::Distance;
 use streamfold_policy::server_scope::ServerBar;
-use streamfold_policy::shard_health::ServiceStanding;
-use streamfold_policy::split_rule::SplitTurns;
+use streamfold_policy::shard_health::ServiceHealth;
+use streamfold_policy::split_rule::SplitSelector;
 
 use crate::call_line::CallLine;
 use crate::call_waits::CallWaits;
@@ -76,9 +76,9 @@
     }
 
     /// How many of its servers are good ones now.
-    pub(crate) fn standing(&self, now: Moment) -> ServiceStanding {
+    pub(crate) fn standing(&self, now: Moment) -> ServiceHealth {
         let is_good = |server: &&Arc<Server>| !server.is_doubtful() && !server.is_dark(now) && !server.is_slow(now);
-        ServiceStanding { servers: self.servers.len(), good: self.servers.iter().filter(is_good).count() }
+        ServiceHealth { servers: self.servers.len(), good: self.servers.iter().filter(is_good).count() }
     }
 
     /// Where its calls wait, if they do.
@@ -132,7 +132,7 @@
     /// Latencies by route.
     pub times: HashMap<RouteName, RouteTimes>,
     /// Turns of the services of a route, by route.
-    pub(crate) turns: HashMap<RouteName, Arc<SplitTurns>>,
+    pub(crate) turns: HashMap<RouteName, Arc<SplitSelector>>,
     /// Nodes by failure domain, this one included; also those that were there until lately.
     pub nodes: HashMap<FailureDomain, NodeCount>,
     /// Whether this node is an owner in its failure domain.
@@ -147,7 +147,7 @@
 
 impl ClusterView {
     /// The turns of a route's services, if there are several.
-    pub fn turns(&self, route: &RouteName) -> Option<&SplitTurns> {
+    pub fn turns(&self, route: &RouteName) -> Option<&SplitSelector> {
         self.turns.get(route).map(|turns| &**turns)
     }
 
@@ -214,12 +214,12 @@
         let Some(spec) = spec else { return 1 };
         let near = self.nodes.get(&server.domain).copied().unwrap_or_default();
         let owners = self.nodes.values().map(|count| count.owners).sum::<usize>();
-        let nodes = CallingNodes { near: near.all, far: self.node_count() - near.all };
-        let owners = CallingNodes { near: near.owners, far: owners - near.owners };
+        let nodes = NodeCounts { near: near.all, far: self.node_count() - near.all };
+        let owners = NodeCounts { near: near.owners, far: owners - near.owners };
         divide_connections(spec.max_connections, nodes, owners, self.caller_kind(server))
     }
 
-    fn caller_kind(&self, server: &Server) -> CallerKind {
-        CallerKind { is_near: server.distance == Distance::Domain, is_owner: self.is_owner }
+    fn caller_kind(&self, server: &Server) -> NodeRole {
+        NodeRole { is_near: server.distance == Distance::Domain, is_owner: self.is_owner }
     }
 }
--- a/crates/router/src/contention.rs
+++ b/crates/router/src/contention.rs
@@ -30,7 +30,7 @@
     mixed: &HashSet<ServiceName>,
     place: &ClusterPlace,
 ) -> HashMap<ServiceName, LineRule> {
-    if !place.mechanisms.has(Mechanism::CallLines) {
+    if !place.mechanisms.has(Mechanism::CallQueues) {
         return HashMap::new();
     }
     let by_team = place.scheduling.by_team
--- a/crates/router/src/crash_check.rs
+++ b/crates/router/src/crash_check.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use streamfold_policy::crash_book::{CrashSuspect, SURVIVED_AFTER};
+use streamfold_policy::crash_tracker::{CrashSuspect, SURVIVAL_DELAY};
 use tokio::net::TcpStream;
 
 use crate::quarantine;
@@ -34,7 +34,7 @@
 
 /// Whether a server that has just answered lives on for a while.
 pub async fn lives_on(server: &Server) -> bool {
-    tokio::time::sleep(SURVIVED_AFTER).await;
+    tokio::time::sleep(SURVIVAL_DELAY).await;
     !server.is_crashed() && matches!(connect(server).await, Some(Ok(_)))
 }
 
--- a/crates/router/src/domain.rs
+++ b/crates/router/src/domain.rs
@@ -35,7 +35,7 @@
             distance: place.distance(name),
             evacuated: AtomicBool::new(false),
             reach: Mutex::default(),
-            is_watched: *name != place.domain && place.mechanisms.has(Mechanism::DarkDomains),
+            is_watched: *name != place.domain && place.mechanisms.has(Mechanism::UnreachableDomains),
         }
     }
 
@@ -55,7 +55,7 @@
 
     /// Whether nothing there is believed to answer now.
     pub fn is_dark(&self, now: Moment) -> bool {
-        self.is_watched && self.reach().is_dark(now)
+        self.is_watched && self.reach().is_unreachable(now)
     }
 
     /// Notes that anything was heard from there.
@@ -64,30 +64,30 @@
             return;
         }
         let mut reach = self.reach();
-        if reach.is_dark(now) {
+        if reach.is_unreachable(now) {
             tracing::info!(event = "failure_domain_heard", failure_domain = %self.name);
         }
-        reach.note_heard(now);
+        reach.note_contact(now);
     }
 
     /// Notes that a node there was asked for a sign of life in vain.
     pub fn note_no_sign(&self, now: Moment) {
-        self.reach().note_no_sign(now);
+        self.reach().note_probe_failure(now);
     }
 
     /// Whether anything was heard from there within a span.
     pub fn was_heard_within(&self, now: Moment, span: Duration) -> bool {
-        self.reach().was_heard_within(now, span)
+        self.reach().had_contact_within(now, span)
     }
 
     /// Notes that a server or node there is overdue with a call that began at a moment.
     pub fn note_silent(&self, now: Moment, started: Moment, who: &str) {
-        self.note_silent_in(now, started, who, SilenceContext::Alone);
+        self.note_silent_in(now, started, who, SilenceContext::NoneUnreachable);
     }
 
     /// The same, with what else is believed.
     pub fn note_silent_in(&self, now: Moment, started: Moment, who: &str, context: SilenceContext) {
-        if self.is_watched && self.reach().note_silent(now, started, who, context) {
+        if self.is_watched && self.reach().note_overdue(now, started, who, context) {
             metrics::counter!("streamfold_dark_failure_domains_total").increment(1);
             tracing::warn!(event = "failure_domain_dark", failure_domain = %self.name, last = who);
         }
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use streamfold_model::{FailureDomain, NodeId, Priority, RouteTarget, ServiceName, ShardFold};
-use streamfold_policy::come_back::TurnReason;
+use streamfold_policy::retry_after::RefusalReason;
 use streamfold_policy::entry_gate::{EntryAsk, EntryGate, EntryRule, EntryStep};
 use streamfold_policy::server_outlook::{ShardOutlook, expect_answers};
 use streamfold_policy::wait_book::{AgreedWait, WaitBook};
@@ -97,7 +97,7 @@
         EntryStep::GiveWay { wait } => ("give_way", wait),
     };
     note_turned_away(context, &ask, told, reason);
-    Err(RefusalKind::not_run(TurnReason::Overload { wait }))
+    Err(RefusalKind::not_run(RefusalReason::Overload { wait }))
 }
 
 /// Notes how long calls wait at this node: it hears of the others by their replies.
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use streamfold_policy::watch_rule::{self, WatchAsk};
+use streamfold_policy::watch_timeout::{self, WatchProgress};
 use streamfold_store::StoreError;
 
 use crate::border::{FeedChanges, FeedList, FeedPosition, FeedTopic, ListAge};
@@ -183,14 +183,14 @@
     fn watch_wait(&self, position: FeedPosition) -> Duration {
         match self.topic {
             FeedTopic::Servers => self.router.settings.silence_within.0,
-            FeedTopic::Routes | FeedTopic::Evacuations => watch_rule::choose_wait(&self.watch_ask(position)),
-            FeedTopic::Nodes | FeedTopic::Crashes => watch_rule::LONGEST_WAIT,
+            FeedTopic::Routes | FeedTopic::Evacuations => watch_timeout::choose_wait(&self.watch_ask(position)),
+            FeedTopic::Nodes | FeedTopic::Crashes => watch_timeout::LONGEST_WAIT,
         }
     }
 
-    fn watch_ask(&self, position: FeedPosition) -> WatchAsk {
+    fn watch_ask(&self, position: FeedPosition) -> WatchProgress {
         let told = self.router.told_position.borrow().0;
-        WatchAsk { known: position.0, told, silence_within: self.router.settings.silence_within.0 }
+        WatchProgress { topic_revision: position.0, store_revision: told, silence_within: self.router.settings.silence_within.0 }
     }
 
     /// Waits until a watch that has just begun is to be begun anew, since its connection may have fallen silent.
@@ -198,13 +198,13 @@
         let relies = matches!(self.topic, FeedTopic::Routes | FeedTopic::Evacuations);
         let ask = self.watch_ask(position);
         // A short one ends by itself.
-        if !relies || watch_rule::choose_wait(&ask) <= ask.silence_within {
+        if !relies || watch_timeout::choose_wait(&ask) <= ask.silence_within {
             return std::future::pending().await;
         }
         tokio::time::sleep(ask.silence_within).await;
         let mut told = self.router.told_position.subscribe();
         let is_overdue =
-            |told: &FeedPosition| watch_rule::is_overdue(&WatchAsk { told: told.0, ..ask }, ask.silence_within);
+            |told: &FeedPosition| watch_timeout::is_overdue(&WatchProgress { store_revision: told.0, ..ask }, ask.silence_within);
         // The sender lives as long as the router.
         let _ = told.wait_for(is_overdue).await;
     }
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -15,9 +15,9 @@
 use streamfold_link::socket::watch_peer;
 use streamfold_model::{RouteSpec, RouteTable, RouteTarget, TeamSpec};
 use streamfold_policy::caller_way::find_begin;
-use streamfold_policy::come_back::TurnReason;
-use streamfold_policy::crash_book::ContentStanding;
-use streamfold_policy::split_rule::SplitTurns;
+use streamfold_policy::retry_after::RefusalReason;
+use streamfold_policy::crash_tracker::ContentStatus;
+use streamfold_policy::split_rule::SplitSelector;
 use streamfold_policy::{Mechanism, Moment};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -231,7 +231,7 @@
 
 fn find_route(router: &Router, headers: &HeaderMap, uri: &Uri) -> Result<RoutedRequest, RefusalKind> {
     let view = router.cluster.view();
-    let unknown = || RefusalKind::not_run(TurnReason::RoutesUnknown { uptime: router.uptime() });
+    let unknown = || RefusalKind::not_run(RefusalReason::RoutesUnknown { uptime: router.uptime() });
     let table: Arc<RouteTable> = view.table.clone().ok_or_else(unknown)?;
     let host = read_host(headers, uri).ok_or(RefusalKind::BadRequest)?;
     match table.find(&host, uri.path()) {
@@ -251,13 +251,13 @@
     let router = &context.router;
     let content = context.request.suspect.content;
     let left = match router.cluster.quarantine.standing(context.now(), content) {
-        ContentStanding::Clear | ContentStanding::Suspect => return take_credit(context).await,
-        ContentStanding::TrialDue if quarantine::claim_trial(router, content).await => {
+        ContentStatus::Clear | ContentStatus::Suspect => return take_credit(context).await,
+        ContentStatus::TrialDue if quarantine::claim_trial(router, content).await => {
             context.canary = CanaryCall::trial();
             return take_credit(context).await;
         }
-        ContentStanding::TrialDue => Duration::ZERO,
-        ContentStanding::Held { until } => until.since(context.now()),
+        ContentStatus::TrialDue => Duration::ZERO,
+        ContentStatus::Quarantined { until } => until.since(context.now()),
     };
     metrics::counter!("streamfold_quarantined_requests_total").increment(1);
     Err(RefusalKind::quarantined(left))
@@ -312,7 +312,7 @@
 }
 
 /// The turns of a request's route, if it is split and goes by turns.
-fn find_turns(context: &AttemptContext) -> Option<&SplitTurns> {
+fn find_turns(context: &AttemptContext) -> Option<&SplitSelector> {
     context.view.turns(&context.route.name).filter(|_| context.router.has(Mechanism::SplitTurns))
 }
 
--- a/crates/router/src/gather.rs
+++ b/crates/router/src/gather.rs
@@ -11,8 +11,8 @@
 use streamfold_model::{ServiceName, ShardFold};
 use streamfold_policy::Moment;
 use streamfold_policy::answer_margin::answer_margin;
-use streamfold_policy::canary::RequestFate;
-use streamfold_policy::come_back::TurnReason;
+use streamfold_policy::canary::RequestVerdict;
+use streamfold_policy::retry_after::RefusalReason;
 use streamfold_policy::fold_rule::{FoldRule, FoldStep};
 use streamfold_policy::late_alarm::AlarmWatch;
 use tokio::time::Sleep;
@@ -237,19 +237,19 @@
     /// not ended yet need not, and other nodes know before its caller can ask them.
     async fn note_fate(&mut self) {
         let fate = self.context.fate();
-        if fate == RequestFate::GoesOn {
+        if fate == RequestVerdict::Continue {
             return;
         }
         tracing::info!(
             event = "calls_cancelled",
             request = self.context.request.id_text(),
             content = %self.context.request.suspect.content,
-            is_blamed = fate == RequestFate::Blamed,
+            is_blamed = fate == RequestVerdict::AtFault,
             calls = self.calls.len(),
             batches = self.pending_batches.len()
         );
         self.cancel_calls();
-        if fate == RequestFate::Blamed {
+        if fate == RequestVerdict::AtFault {
             quarantine_news::blame(&self.context.router, self.context.request.suspect).await;
         }
     }
@@ -350,7 +350,7 @@
     fn refusal(&self) -> RefusalKind {
         let has_run = self.slots.iter().any(|slot| self.may_run(slot));
         match has_run {
-            false => RefusalKind::not_run(TurnReason::NoServer),
+            false => RefusalKind::not_run(RefusalReason::NoServer),
             true if self.context.now() >= self.context.request.deadline => RefusalKind::Late,
             true => RefusalKind::Lost,
         }
--- a/crates/router/src/gather_batch.rs
+++ b/crates/router/src/gather_batch.rs
@@ -17,7 +17,7 @@
 impl GatherRound<'_> {
     /// Hands shards to nodes near their servers.
     pub(crate) fn delegate(&mut self) {
-        if !self.context.router.has(Mechanism::FarFolding) || !self.context.is_free() {
+        if !self.context.router.has(Mechanism::FarDelegation) || !self.context.is_free() {
             return;
         }
         for batch in self.context.plan_batches(&self.slots) {
--- a/crates/router/src/node_sweep.rs
+++ b/crates/router/src/node_sweep.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use streamfold_model::{NodeEntry, NodeId};
-use streamfold_policy::absence::AbsenceBook;
+use streamfold_policy::absence::AbsenceTracker;
 use tokio::net::TcpStream;
 
 use crate::border::FeedTopic;
@@ -22,7 +22,7 @@
 
 /// Looks after the entries of this failure domain until the node ends.
 pub async fn run(router: Arc<Router>) {
-    let mut book = AbsenceBook::default();
+    let mut book = AbsenceTracker::default();
     loop {
         let limit = router.settings.gone_after.0;
         tokio::time::sleep((limit / LOOKS).mul_f64(rand::random_range(0.8..1.2))).await;
@@ -41,7 +41,7 @@
 }
 
 /// One look at the other nodes of the failure domain.
-async fn sweep(router: &Router, book: &mut AbsenceBook<(NodeId, u64)>, limit: Duration) {
+async fn sweep(router: &Router, book: &mut AbsenceTracker<(NodeId, u64)>, limit: Duration) {
     let neighbours = router.cluster.neighbours();
     let mut looks = Vec::new();
     for entry in neighbours.iter().filter(|entry| entry.node != router.settings.node) {
@@ -49,7 +49,7 @@
         looks.push(((entry.node.clone(), entry.incarnation.0), is_reached));
     }
     let reaches_others = router.cluster.view().peers.iter().any(|peer| peer.link.is_open());
-    let gone = book.note_look(router.clock.now(), &looks, reaches_others, limit);
+    let gone = book.note_scan(router.clock.now(), &looks, reaches_others, limit);
     let is_gone = |entry: &&NodeEntry| gone.contains(&(entry.node.clone(), entry.incarnation.0));
     for entry in neighbours.iter().filter(is_gone) {
         remove(router, entry, limit).await;
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -1,5 +1,5 @@
 //! Contents that end the servers that run them: noted, told to all nodes through the platform's store, held
-//! off, and tried again at one server after a while. The rules are in `policy::crash_book`.
+//! off, and tried again at one server after a while. The rules are in `policy::crash_tracker`.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,7 +7,7 @@
 
 use streamfold_model::{ContentId, CrashEntry, ServerRun};
 use streamfold_policy::Moment;
-use streamfold_policy::crash_book::{ContentStanding, CrashBook, CrashSuspect, LEAST_CRASHES, SETTLE_AFTER};
+use streamfold_policy::crash_tracker::{ContentStatus, CrashTracker, CrashSuspect, MIN_CRASHES, DECISION_DELAY};
 use streamfold_store::StoreError;
 
 use crate::border::{EntryRevision, FeedTopic};
@@ -29,21 +29,21 @@
 /// What a node knows of contents that end servers.
 #[derive(Default)]
 pub struct CrashQuarantine {
-    book: Mutex<CrashBook>,
+    book: Mutex<CrashTracker>,
     /// Whether anything is known of any content: most of the time nothing is, and no request waits for a lock.
     is_used: AtomicBool,
 }
 
 impl CrashQuarantine {
-    fn book(&self) -> MutexGuard<'_, CrashBook> {
+    fn book(&self) -> MutexGuard<'_, CrashTracker> {
         self.book.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn change<T>(&self, change: impl FnOnce(&mut CrashBook) -> T) -> T {
+    fn change<T>(&self, change: impl FnOnce(&mut CrashTracker) -> T) -> T {
         let mut book = self.book();
         let changed = change(&mut book);
         self.is_used.store(!book.is_empty(), Ordering::Relaxed);
-        metrics::gauge!("streamfold_quarantined_contents").set(book.count_held() as f64);
+        metrics::gauge!("streamfold_quarantined_contents").set(book.count_quarantined() as f64);
         changed
     }
 
@@ -52,8 +52,8 @@
     }
 
     /// How a request with a content is treated now.
-    pub fn standing(&self, now: Moment, content: ContentId) -> ContentStanding {
-        if self.is_used() { self.book().standing(now, content) } else { ContentStanding::Clear }
+    pub fn standing(&self, now: Moment, content: ContentId) -> ContentStatus {
+        if self.is_used() { self.book().status(now, content) } else { ContentStatus::Clear }
     }
 
     /// Servers that ended under a content, as far as is known.
@@ -75,14 +75,14 @@
 
     /// Holds a content off that was found to end servers; what is to be told to all nodes, if that is news.
     pub(crate) fn blame(&self, now: Moment, content: ContentId) -> Option<CrashEntry> {
-        let entry = self.change(|book| book.blame(now, content))?;
+        let entry = self.change(|book| book.quarantine(now, content))?;
         tracing::warn!(event = "content_blamed", %content, crashed = join(&entry.crashed));
         Some(entry)
     }
 
     /// Takes that another node found a content to end servers; whether that is news.
     pub(crate) fn put_blamed(&self, now: Moment, entry: &CrashEntry) -> bool {
-        let is_news = self.change(|book| book.put_blamed(now, entry));
+        let is_news = self.change(|book| book.put_quarantined(now, entry));
         if is_news {
             let crashed = entry.crashed.len();
             let source = NewsOrigin::Peer;
@@ -148,17 +148,17 @@
         return;
     }
     let now = router.clock.now();
-    if router.cluster.quarantine.change(|book| book.note_told(now, suspect.content, servers)) {
+    if router.cluster.quarantine.change(|book| book.note_reported(now, suspect.content, servers)) {
         tokio::spawn(settle(router.clone(), suspect));
     }
 }
 
 /// Decides on a content when servers had time to answer, and tells all nodes of it.
 async fn settle(router: Arc<Router>, suspect: CrashSuspect) {
-    tokio::time::sleep(SETTLE_AFTER).await;
+    tokio::time::sleep(DECISION_DELAY).await;
     let now = router.clock.now();
-    let Some(entry) = router.cluster.quarantine.change(|book| book.settle(now, suspect)) else { return };
-    if entry.crashed.len() >= LEAST_CRASHES {
+    let Some(entry) = router.cluster.quarantine.change(|book| book.decide(now, suspect)) else { return };
+    if entry.crashed.len() >= MIN_CRASHES {
         tracing::warn!(
             event = "content_suspected",
             content = %entry.content,
@@ -224,7 +224,7 @@
     let quarantine = &router.cluster.quarantine;
     let shared = quarantine.book().shared_entry(content).cloned();
     let Some(known) = shared else {
-        let entry = quarantine.change(|book| book.note_own_trial(router.clock.now(), content));
+        let entry = quarantine.change(|book| book.note_local_trial(router.clock.now(), content));
         tracing::info!(event = "content_tried", %content, trials = 0);
         if let Some(entry) = entry {
             quarantine_news::tell_all(router, entry).await;
--- a/crates/router/src/quarantine_news.rs
+++ b/crates/router/src/quarantine_news.rs
@@ -7,7 +7,7 @@
 use bincode::{Decode, Encode};
 use futures_util::future::join_all;
 use streamfold_model::{CrashEntry, FailureDomain};
-use streamfold_policy::crash_book::CrashSuspect;
+use streamfold_policy::crash_tracker::CrashSuspect;
 
 use crate::peers::PeerNode;
 use crate::quarantine;
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -10,8 +10,8 @@
 use streamfold_link::{FrameReader, PeerError, PeerLink};
 use streamfold_model::{NodeEntry, NodeId};
 use streamfold_policy::Mechanism;
-use streamfold_policy::feed_rule::{FeedNode, choose_readers};
-use streamfold_policy::reader_look::LookPlan;
+use streamfold_policy::reader_choice::{ReaderCandidate, choose_readers};
+use streamfold_policy::reader_probe::ProbeSchedule;
 
 use crate::border::{FeedChange, FeedItem, FeedTopic};
 use crate::cluster::NewsOrigin;
@@ -118,7 +118,7 @@
 /// ends. Where none can, the store is followed.
 pub async fn follow(router: Arc<Router>) {
     let mut lost: Option<NodeId>;
-    let mut plan = LookPlan::default();
+    let mut plan = ProbeSchedule::default();
     let mut reader = await_reader(&router).await;
     loop {
         match reader {
@@ -128,7 +128,7 @@
                 lost = Some(subscription.reader);
                 // It may have lost the store.
                 router.store_turn.doubt();
-                plan = LookPlan::default();
+                plan = ProbeSchedule::default();
             }
             None => {
                 router.set_source(FeedSource::Store);
@@ -223,15 +223,15 @@
     if !router.cluster.has_node(&place.node) {
         neighbours.push(router.own_entry());
     }
-    let nodes: Vec<FeedNode> =
-        neighbours.iter().map(|entry| FeedNode { name: entry.node.as_str(), power: entry.power }).collect();
+    let nodes: Vec<ReaderCandidate> =
+        neighbours.iter().map(|entry| ReaderCandidate { name: entry.node.as_str(), power: entry.power }).collect();
     let choice = choose_readers(place.node.as_str(), place.domain.as_str(), &nodes);
     router.store_turn.set_rank(choice.rank);
     let find = |name: &str| neighbours.iter().find(|entry| entry.node.as_str() == name).cloned();
     OwnReaders {
         readers: choice.readers.into_iter().filter_map(find).collect(),
-        patience: choice.patience,
-        starting_patience: choice.starting_patience,
+        patience: choice.startup_wait,
+        starting_patience: choice.starting_reader_wait,
     }
 }
 
--- a/crates/router/src/request.rs
+++ b/crates/router/src/request.rs
@@ -11,7 +11,7 @@
 use http_body_util::Full;
 use streamfold_model::{ContentId, ServerId};
 use streamfold_policy::Moment;
-use streamfold_policy::crash_book::CrashSuspect;
+use streamfold_policy::crash_tracker::CrashSuspect;
 
 use crate::batch::RequestCopy;
 use crate::border::{CallFormat, CallerHead};
@@ -105,7 +105,7 @@
         let held = head.deadline.map_or(limit, |deadline| deadline.min(limit));
         let content = identify(&parts.method, &parts.uri, &headers, &body);
         Self {
-            suspect: CrashSuspect { content, is_lone },
+            suspect: CrashSuspect { content, is_single_service: is_lone },
             id: head.request,
             started: arrival.begun,
             read: arrival.read,
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -7,7 +7,7 @@
 
 use streamfold_model::{FailureDomain, HomeRegions, ServerEntry, ServerId, ServerRun, ServerStart, ServiceName};
 use streamfold_policy::cold_limit::ColdCalls;
-use streamfold_policy::crash_book::CrashSuspect;
+use streamfold_policy::crash_tracker::CrashSuspect;
 use streamfold_policy::recent_work::RecentWork;
 use streamfold_policy::replica::{CallSample, Distance, ReplicaState};
 use streamfold_policy::server_outlook::{FinishOutlook, ServerOutlook};
--- a/crates/router/src/signs.rs
+++ b/crates/router/src/signs.rs
@@ -63,6 +63,6 @@
     match told {
         Ok(_) => peer.domain.note_heard(now),
         Err(_) if peer.domain.is_dark(now) => peer.domain.note_no_sign(now),
-        Err(_) => peer.domain.note_silent_in(now, asked, peer.entry.node.as_str(), SilenceContext::BesideDark),
+        Err(_) => peer.domain.note_silent_in(now, asked, peer.entry.node.as_str(), SilenceContext::OtherUnreachable),
     }
 }
--- a/crates/router/src/single.rs
+++ b/crates/router/src/single.rs
@@ -7,9 +7,9 @@
 use http::{HeaderMap, Response};
 use http_body_util::Full;
 use streamfold_model::{ServiceName, WeightedService};
-use streamfold_policy::come_back::TurnReason;
+use streamfold_policy::retry_after::RefusalReason;
 use streamfold_policy::late_alarm::AlarmWatch;
-use streamfold_policy::split_rule::{SplitTurns, choose_part};
+use streamfold_policy::split_rule::{SplitSelector, choose_part};
 
 use crate::answer::{CallerAnswer, RefusalKind};
 use crate::attempt_context::{AttemptContext, CallNews, PendingCalls};
@@ -19,12 +19,12 @@
 
 /// The service whose turn it is by the weights. A request stays with it: one that it has no room
 /// for is refused and not moved, or the others would get more than their share.
-pub fn choose_service<'a>(parts: &'a [WeightedService], turns: Option<&SplitTurns>) -> Option<&'a ServiceName> {
+pub fn choose_service<'a>(parts: &'a [WeightedService], turns: Option<&SplitSelector>) -> Option<&'a ServiceName> {
     if parts.len() < 2 {
         return parts.first().map(|part| &part.service);
     }
     let weights: Vec<f64> = parts.iter().map(|part| part.weight).collect();
-    let chosen = turns.map_or_else(|| choose_part(&weights, rand::random()), |turns| turns.take(&weights));
+    let chosen = turns.map_or_else(|| choose_part(&weights, rand::random()), |turns| turns.select(&weights));
     chosen.map(|position| &parts[position].service)
 }
 
@@ -50,7 +50,7 @@
             service = %service,
             barred = context.name_bars(service)
         );
-        return Err(RefusalKind::not_run(TurnReason::NoServer));
+        return Err(RefusalKind::not_run(RefusalReason::NoServer));
     }
     let mut round = SingleRound { context, attempts, calls: PendingCalls::new(), failure: None };
     round.context.start_first(0, &mut round.attempts, &round.calls);
@@ -127,7 +127,7 @@
     fn refusal(&self) -> RefusalKind {
         let has_run = self.attempts.may_run();
         match has_run {
-            false => RefusalKind::not_run(TurnReason::NoServer),
+            false => RefusalKind::not_run(RefusalReason::NoServer),
             true if self.context.now() >= self.context.request.deadline => RefusalKind::Late,
             true => RefusalKind::Lost,
         }
--- a/crates/router/src/store_turn.rs
+++ b/crates/router/src/store_turn.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-use streamfold_policy::{reader_look, store_pause};
+use streamfold_policy::{reader_probe, store_backoff};
 use streamfold_store::StoreError;
 use tokio::sync::{Mutex, MutexGuard, Notify};
 use tokio::time::Instant;
@@ -17,7 +17,7 @@
 
 /// The pause after so many failed calls in a row, spread so that nodes do not ask together.
 pub(crate) fn choose_pause(failures: u32) -> Duration {
-    spread(store_pause::choose_pause(failures, 0))
+    spread(store_backoff::backoff_delay(failures, 0))
 }
 
 fn spread(pause: Duration) -> Duration {
@@ -102,14 +102,14 @@
     /// Has a reader looked for, where those before this node may follow the store again.
     async fn look_first(&self) {
         let rank = self.rank.load(Ordering::Relaxed);
-        if !reader_look::is_before_asking(rank) {
+        if !reader_probe::is_probe_first(rank) {
             return;
         }
         let mut in_vain = std::pin::pin!(self.looked_in_vain.notified());
         in_vain.as_mut().enable();
         self.look_wanted.notify_one();
         // Readers that are silent are not waited for.
-        let is_in_vain = tokio::time::timeout(reader_look::LOOK_WITHIN, in_vain).await.is_ok();
+        let is_in_vain = tokio::time::timeout(reader_probe::PROBE_TIMEOUT, in_vain).await.is_ok();
         tracing::debug!(event = "reader_looked_for", rank, is_in_vain);
     }
 
@@ -141,7 +141,7 @@
 
     fn note_refusal(&self, refusals: &mut RefusalRecord) {
         let rank = self.rank.load(Ordering::Relaxed);
-        refusals.again_at = Some(Instant::now() + spread(store_pause::choose_pause(refusals.count, rank)));
+        refusals.again_at = Some(Instant::now() + spread(store_backoff::backoff_delay(refusals.count, rank)));
         refusals.count += 1;
         self.is_refused.store(true, Ordering::Relaxed);
     }
--- a/crates/router/src/usage.rs
+++ b/crates/router/src/usage.rs
@@ -8,7 +8,7 @@
 use bincode::{Decode, Encode};
 use streamfold_link::PeerLink;
 use streamfold_model::{ContentId, NodeEntry, NodeId, TeamName, TeamSpec, UsageLimit};
-use streamfold_policy::come_back::{TurnReason, usable_wait};
+use streamfold_policy::retry_after::{RefusalReason, usable_wait};
 use streamfold_policy::turn_book::{PlaceCounts, PlaceOffer, TurnAsk};
 use streamfold_policy::usage_credit::{CreditAnswer, CreditPools, DomainCredits, PoolLoan, UsageAllowance};
 use streamfold_policy::{Mechanism, Moment};
@@ -116,12 +116,12 @@
     }
 
     /// Why a caller is refused, and when it may come back.
-    fn reason(&self) -> TurnReason {
+    fn reason(&self) -> RefusalReason {
         let wait = Duration::from_micros(self.wait_us);
         match self.turn {
-            ReturnTurn::Anytime => TurnReason::OverLimit { wait },
-            ReturnTurn::Given => TurnReason::Place { wait },
-            ReturnTurn::TooFar => TurnReason::NoPlace { wait },
+            ReturnTurn::Anytime => RefusalReason::OverLimit { wait },
+            ReturnTurn::Given => RefusalReason::Reserved { wait },
+            ReturnTurn::TooFar => RefusalReason::NoReservation { wait },
         }
     }
 }
@@ -252,7 +252,7 @@
     }
     metrics::counter!("streamfold_credit_unknown_total").increment(1);
     tracing::warn!(event = "credit_unknown", request = request.id_text(), team = %team.name, lenders = lenders.len());
-    Err(RefusalKind::not_run(TurnReason::NoServer))
+    Err(RefusalKind::not_run(RefusalReason::NoServer))
 }
 
 /// Gives back the credit of a request that reached no server.
@@ -314,7 +314,7 @@
 /// Whether callers of one team that are refused return in turn.
 fn has_turns(router: &Router) -> bool {
     let settings = &router.settings;
-    settings.scheduling.by_team && settings.return_turns && router.has(Mechanism::ReturnTurns)
+    settings.scheduling.by_team && settings.return_turns && router.has(Mechanism::RetryReservations)
 }
 
 /// Deals out one request of a team in this failure domain.
