--- a/crates/policy/src/absence.rs
+++ b/crates/policy/src/absence.rs
@@ -1,4 +1,4 @@
-//! When a node that cannot be reached counts as gone, so that its entry may be removed.
+//! Decides when an unreachable node counts as gone, so that its entry can be removed.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -6,7 +6,7 @@
 
 use crate::moment::Moment;
 
-/// Things that could not be reached, with the moment since when.
+/// Tracks unreachable targets and since when each of them has been unreachable.
 #[derive(Debug)]
 pub struct AbsenceTracker<K> {
     since: HashMap<K, Moment>,
@@ -19,15 +19,15 @@
 }
 
 impl<K: Clone + Eq + Hash> AbsenceTracker<K> {
-    /// Takes one look at all that should be there, each with whether it was reached, and returns
-    /// those that no look has reached for `limit`. Where nothing at all was reached the fault is
-    /// more likely here, so that look tells nothing.
-    pub fn note_scan(&mut self, now: Moment, looks: &[(K, bool)], reaches_others: bool, limit: Duration) -> Vec<K> {
-        if !reaches_others && looks.iter().all(|(_, is_reached)| !is_reached) {
+    /// Records one scan of all expected targets, each with whether it was reached, and returns those
+    /// that no scan has reached for `limit`. A scan that reaches nothing at all is discarded and resets the
+    /// tracker: the fault is then more likely at this node.
+    pub fn note_scan(&mut self, now: Moment, results: &[(K, bool)], reaches_others: bool, limit: Duration) -> Vec<K> {
+        if !reaches_others && results.iter().all(|(_, is_reached)| !is_reached) {
             self.since.clear();
             return Vec::new();
         }
-        let absent: Vec<&K> = looks.iter().filter(|(_, is_reached)| !is_reached).map(|(key, _)| key).collect();
+        let absent: Vec<&K> = results.iter().filter(|(_, is_reached)| !is_reached).map(|(key, _)| key).collect();
         let since = absent.iter().map(|key| ((*key).clone(), self.since.get(*key).copied().unwrap_or(now)));
         self.since = since.collect();
         let is_gone = |key: &&&K| now.since(self.since[**key]) >= limit;
--- a/crates/policy/src/domain_reach.rs
+++ b/crates/policy/src/domain_reach.rs
@@ -1,114 +1,115 @@
-//! Whether another failure domain can be reached at all.
+//! Failure detector for whole failure domains: decides whether another failure domain is reachable at all.
 //!
-//! The load pattern: a failure domain loses its power, or is cut off from the others, while requests
-//! to hundreds of its servers run and begin. Each server by itself looks paused, and learning that of
-//! one after the other takes every request its whole time. Servers pause independently of each other,
-//! so that several of them are overdue while nothing at all is heard from there tells more than any one.
-//! With it 53 requests of two cuts of 4 and 5 s were not held until their callers' deadline any more, and
-//! 68 were refused before they ran (a replay of 34 s with 60 nodes, once before and once after).
+//! The failure is a failure domain that loses power or is partitioned from the others while requests to hundreds
+//! of its servers run and start. Each single server only looks paused, and a request that finds this out server by
+//! server uses up its whole deadline. Servers pause independently of each other, so several overdue servers with no
+//! response at all from their domain are stronger evidence than any one of them. In one replay of 34 s with 60 nodes
+//! and two partitions of 4 and 5 s, once without this detector and once with it, it kept 53 requests from
+//! waiting until their callers' deadline, and 68 were refused before they ran.
 
 use std::time::Duration;
 
 use crate::moment::Moment;
 
-/// So many servers or nodes must be overdue: each of them pauses a few hundredths of the time, so that
-/// three at once that nothing else answers beside are no chance.
-const SILENT_ENOUGH: usize = 3;
-/// The same while another failure domain is dark already: then it is likely that this node itself is
-/// cut off, and requests that need one of the others should not have to find each of them out.
-const SILENT_BESIDE_DARK: usize = 2;
-/// Nothing must be heard for so long since the first of the calls began: a first call to another region,
-/// with its connection, takes some 60 ms where one way there takes 12.
+/// Number of servers or nodes that must be overdue. Each of them pauses for a few hundredths of the time, so three
+/// at once without any response from their domain are not a coincidence.
+const MIN_OVERDUE: usize = 3;
+/// The same number while another failure domain is already unreachable. This node itself is then probably
+/// partitioned, and requests should not have to discover each further unreachable domain separately.
+const MIN_OVERDUE_BESIDE_UNREACHABLE: usize = 2;
+/// Minimum time without a response since the first of the overdue calls started. A first call to another region,
+/// including the connection setup, takes about 60 ms if the one-way latency is 12 ms.
 pub const MIN_SILENCE: Duration = Duration::from_millis(100);
-/// Those that are silent count together for so long: where a failure domain is lost, whatever was asked
-/// there is overdue within this time. Calls that were given up meanwhile leave nothing for later.
-const COUNTED_FOR: Duration = Duration::from_millis(500);
-/// For how long a failure domain that fell silent is taken for dark before requests try it again:
-/// the first span, and the longest; each further one in a row doubles it.
-const FIRST_DARK: Duration = Duration::from_millis(300);
-const MAX_DARK: Duration = Duration::from_secs(2);
-/// Where a node there was asked for a sign of life in vain it stays dark for so long: until the answer
-/// to the next question or the one after it.
-const HOLD: Duration = Duration::from_millis(800);
+/// Time window in which overdue servers are counted together. When a failure domain is lost, all calls to it are
+/// overdue within this time. Calls abandoned earlier do not count towards a later failure.
+const COUNTING_WINDOW: Duration = Duration::from_millis(500);
+/// How long a failure domain counts as unreachable before requests try it again: the first period and the longest.
+/// The period doubles with each consecutive failure.
+const FIRST_UNREACHABLE: Duration = Duration::from_millis(300);
+const MAX_UNREACHABLE: Duration = Duration::from_secs(2);
+/// How long a failure domain stays unreachable after a failed liveness probe: until the result of the next probe or
+/// the one after it.
+const PROBE_HOLD: Duration = Duration::from_millis(800);
 
-/// What else a node believes while something is silent.
+/// The state of the other failure domains when a call becomes overdue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SilenceContext {
-    /// Nothing of note.
+    /// No other failure domain is unreachable.
     NoneUnreachable,
-    /// Another failure domain is dark.
+    /// Another failure domain is unreachable.
     OtherUnreachable,
 }
 
 impl SilenceContext {
-    fn enough(self) -> usize {
+    /// Overdue servers that are enough to declare the failure domain unreachable.
+    fn overdue_threshold(self) -> usize {
         match self {
-            Self::NoneUnreachable => SILENT_ENOUGH,
-            Self::OtherUnreachable => SILENT_BESIDE_DARK,
+            Self::NoneUnreachable => MIN_OVERDUE,
+            Self::OtherUnreachable => MIN_OVERDUE_BESIDE_UNREACHABLE,
         }
     }
 }
 
-/// What a node believes of the way to another failure domain.
+/// The reachability of another failure domain as seen from this node.
 #[derive(Debug, Clone, Default)]
 pub struct DomainReach {
-    /// When anything was heard from there last.
-    heard: Moment,
-    /// Those that are overdue since.
-    silent: Vec<String>,
-    /// When the first of their calls began.
-    silent_since: Moment,
-    dark_from: Moment,
-    dark_until: Moment,
-    spans: u32,
+    /// Time of the last response from there.
+    last_contact: Moment,
+    /// Servers and nodes that have become overdue since then.
+    overdue: Vec<String>,
+    /// Start of the first of the overdue calls.
+    overdue_since: Moment,
+    unreachable_from: Moment,
+    unreachable_until: Moment,
+    periods: u32,
 }
 
 impl DomainReach {
-    /// Notes that anything was heard from there: an answer, a refusal, a connection that came up.
+    /// Records any response from there: an answer, a refusal or an established connection.
     pub fn note_contact(&mut self, now: Moment) {
-        self.heard = self.heard.max(now);
-        self.silent.clear();
-        self.dark_until = Moment::default();
-        self.spans = 0;
+        self.last_contact = self.last_contact.max(now);
+        self.overdue.clear();
+        self.unreachable_until = Moment::default();
+        self.periods = 0;
     }
 
-    /// Notes that a server or node there is overdue with a call that began at a moment; whether the
-    /// failure domain is taken for dark by that, unless it is heard until [`MIN_SILENCE`] is over.
+    /// Records that the call to a server or node there, which began at `started`, is overdue. Returns true if the
+    /// failure domain counts as unreachable from then on, unless a response arrives before [`MIN_SILENCE`] is over.
     pub fn note_overdue(&mut self, now: Moment, started: Moment, who: &str, context: SilenceContext) -> bool {
-        if now.since(self.silent_since) > COUNTED_FOR {
-            self.silent.clear();
+        if now.since(self.overdue_since) > COUNTING_WINDOW {
+            self.overdue.clear();
         }
-        if now < self.dark_until || started <= self.heard || self.silent.iter().any(|silent| silent == who) {
+        if now < self.unreachable_until || started <= self.last_contact || self.overdue.iter().any(|overdue| overdue == who) {
             return false;
         }
-        self.silent_since = if self.silent.is_empty() { started } else { self.silent_since.min(started) };
-        self.silent.push(who.to_owned());
-        if self.silent.len() < context.enough() {
+        self.overdue_since = if self.overdue.is_empty() { started } else { self.overdue_since.min(started) };
+        self.overdue.push(who.to_owned());
+        if self.overdue.len() < context.overdue_threshold() {
             return false;
         }
-        let span = FIRST_DARK * 2u32.pow(self.spans.min(5));
-        self.dark_from = self.silent_since.plus(MIN_SILENCE).max(now);
-        self.dark_until = self.dark_from.plus(span.min(MAX_DARK));
-        self.spans += 1;
-        self.silent.clear();
+        let period = FIRST_UNREACHABLE * 2u32.pow(self.periods.min(5));
+        self.unreachable_from = self.overdue_since.plus(MIN_SILENCE).max(now);
+        self.unreachable_until = self.unreachable_from.plus(period.min(MAX_UNREACHABLE));
+        self.periods += 1;
+        self.overdue.clear();
         true
     }
 
-    /// Notes that a node there was asked for a sign of life in vain. So one that was dark stays so without
-    /// a request that tries it; one that is not tells nothing by that, since its other nodes may live.
+    /// Records that a liveness probe of a node there failed. An unreachable failure domain then stays so without a
+    /// request that tries it. For a reachable one the probe has no effect, since its other nodes may be alive.
     pub fn note_probe_failure(&mut self, now: Moment) {
         if self.is_unreachable(now) {
-            self.dark_until = self.dark_until.max(now.plus(HOLD));
+            self.unreachable_until = self.unreachable_until.max(now.plus(PROBE_HOLD));
         }
     }
 
-    /// Whether anything was heard from there within a span.
+    /// Whether a response arrived from there within the last `span`.
     pub fn had_contact_within(&self, now: Moment, span: Duration) -> bool {
-        self.heard > Moment::default() && now.since(self.heard) < span
+        self.last_contact > Moment::default() && now.since(self.last_contact) < span
     }
 
-    /// Whether nothing there is believed to answer now.
+    /// Whether the failure domain counts as unreachable now.
     pub fn is_unreachable(&self, now: Moment) -> bool {
-        self.dark_from <= now && now < self.dark_until
+        self.unreachable_from <= now && now < self.unreachable_until
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of streamfold: replica choice, limits, queues, hedges, retries, pinning,
-//! admission and ownership.
+//! Decision logic of streamfold: replica selection, concurrency limits, queues, hedged requests, retries,
+//! version pinning, admission control and ownership.
 //!
-//! Nothing here does I/O or reads a clock; the moment and the dice are passed in. That
-//! makes every rule a function that tests can drive to any state.
+//! Nothing here does I/O or reads a clock. The current time and random numbers are parameters, so that tests can
+//! drive every rule to any state.
 
 pub mod absence;
 pub mod admission;
--- a/crates/policy/src/members.rs
+++ b/crates/policy/src/members.rs
@@ -1,8 +1,8 @@
-//! The membership table: who is there, by heartbeat counters that are passed on.
+//! Membership table and failure detector, based on gossiped heartbeat counters.
 //!
-//! An entry is about one incarnation of a node. Its counter rises only at the node itself,
-//! so whoever passes it on cannot make a dead node look live. States only move forward
-//! within an incarnation: a node that leaves never comes back as the same one.
+//! An entry describes one incarnation of a node. Only the node itself raises its counter, so
+//! a node that forwards the entry cannot make a dead node look live. Within an incarnation the
+//! state only moves forward: a node that leaves rejoins with a new incarnation.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,82 +15,78 @@
 
 use crate::moment::Moment;
 
-/// What a node says of itself.
+/// The lifecycle state that a node reports about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Encode, Decode)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// It takes work.
+    /// Accepts work.
     Live,
-    /// It takes no new work and finishes what it has.
+    /// Accepts no new work and finishes what it has.
     Leaving,
-    /// It has ended.
+    /// Has stopped.
     Gone,
 }
 
-/// One node as it is passed on.
+/// The gossiped description of one node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Encode, Decode)]
 pub struct MemberEntry {
-    /// The node.
     pub node: NodeId,
-    /// Its run.
+    /// Identifies one run of the node.
     pub incarnation: Incarnation,
-    /// Its heartbeat counter.
+    /// Heartbeat counter.
     pub beat: u64,
-    /// Its failure domain.
     pub domain: FailureDomain,
-    /// Where its peers' port is reached.
+    /// Address of the port for other nodes.
     pub peer_address: SocketAddr,
-    /// Where its operators' port is reached.
+    /// Address of the port for operators.
     pub operator_address: SocketAddr,
-    /// What it says of itself.
     pub state: MemberState,
-    /// The configuration it has in force.
+    /// The configuration version in force at the node.
     pub config: ConfigVersion,
-    /// Milliseconds since it last heard from the store, or from a node that did, that its
+    /// Milliseconds since the store, directly or through another node, last confirmed that this
     /// configuration is the newest.
     pub config_age_ms: u64,
 }
 
-/// One hand-over of tickets in a planned stop, as it is passed on.
+/// The gossiped record of a ticket handover in a planned stop.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Encode, Decode)]
 pub struct HandoverRecord {
     /// The node that stopped.
     pub node: NodeId,
-    /// Its run.
+    /// The run that stopped.
     pub incarnation: Incarnation,
-    /// The node that took over.
+    /// The node that took over the tickets.
     pub successor: NodeId,
-    /// How often the tickets were handed over by then; the latest hand-over counts.
+    /// How often the tickets have been handed over so far; the record with the most hops is valid.
     pub hops: u32,
 }
 
-/// Who answers for a ticket.
+/// The node that is responsible for a ticket.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TicketHolder {
-    /// The node.
     pub node: NodeId,
-    /// Whether the run that holds the tickets is still there, as far as is known.
+    /// Whether the run that holds the tickets is still up, as far as this node knows.
     pub alive: bool,
 }
 
-/// How long a counter may stand still.
+/// Timeouts of the failure detector: how long a heartbeat counter may stay unchanged.
 #[derive(Debug, Clone, Copy)]
 pub struct MemberTimes {
-    /// Before the node is suspected.
+    /// Until the node is suspected.
     pub suspect_after: Duration,
-    /// Before it gets no work.
+    /// Until the node counts as dead and gets no work.
     pub dead_after: Duration,
-    /// Before it is forgotten.
+    /// Until the entry is removed.
     pub forget_after: Duration,
 }
 
 #[derive(Debug, Clone)]
 struct MemberRow {
     entry: MemberEntry,
-    heard: Moment,
+    last_update: Moment,
 }
 
-/// What one node knows of all nodes, itself included.
+/// One node's view of all nodes, itself included.
 #[derive(Debug)]
 pub struct MemberTable {
     own: NodeId,
@@ -100,47 +96,47 @@
     cursor: Option<NodeId>,
 }
 
-/// Whether `new` tells more than `old`.
+/// Whether `new` supersedes `old`.
 fn is_newer(new: &MemberEntry, old: &MemberEntry) -> bool {
     let rank = |entry: &MemberEntry| (entry.incarnation, entry.state, entry.beat);
     rank(new) > rank(old)
 }
 
 impl MemberTable {
-    /// A table that knows only its own node.
+    /// Creates a table that holds only the own entry.
     pub fn new(own: MemberEntry, times: MemberTimes, now: Moment) -> Self {
         let node = own.node.clone();
-        let rows = BTreeMap::from([(node.clone(), MemberRow { entry: own, heard: now })]);
+        let rows = BTreeMap::from([(node.clone(), MemberRow { entry: own, last_update: now })]);
         Self { own: node, times, rows, handovers: BTreeMap::new(), cursor: None }
     }
 
-    /// One's own entry.
+    /// The entry of this node.
     pub fn own(&self) -> &MemberEntry {
         &self.rows[&self.own].entry
     }
 
-    /// How long this node did not run, if it did not: its own counter is raised well within the time after
-    /// which others are suspected. Without it a node that had no processor for seconds took all others for
-    /// dead: beside a load of 25 on 8 cores it told of 20 to 26 of 50 orders that their tickets were lost.
-    fn own_pause(&self, now: Moment) -> Duration {
-        let beaten = self.rows.get(&self.own).map_or(now, |row| row.heard);
-        now.since(beaten).saturating_sub(self.times.suspect_after)
+    /// How long this process was stalled, or zero. A running node raises its own counter well within
+    /// `suspect_after`. Without this correction, a node that got no processor time for seconds declares all
+    /// other nodes dead: at a load of 25 on 8 cores it reported the tickets of 20 to 26 of 50 orders as lost.
+    fn own_stall(&self, now: Moment) -> Duration {
+        let last_beat = self.rows.get(&self.own).map_or(now, |row| row.last_update);
+        now.since(last_beat).saturating_sub(self.times.suspect_after)
     }
 
-    /// Changes one's own entry and raises its counter. What was not heard while this node did not run does not
-    /// count against others.
+    /// Changes the own entry and raises its counter. The time in which this process was stalled does not count
+    /// as silence of other nodes.
     pub fn update_own(&mut self, now: Moment, change: impl FnOnce(&mut MemberEntry)) {
-        let pause = self.own_pause(now);
-        self.rows.values_mut().for_each(|row| row.heard = row.heard.plus(pause));
+        let stall = self.own_stall(now);
+        self.rows.values_mut().for_each(|row| row.last_update = row.last_update.plus(stall));
         let own = self.own.clone();
         if let Some(row) = self.rows.get_mut(&own) {
             change(&mut row.entry);
             row.entry.beat += 1;
-            row.heard = now;
+            row.last_update = now;
         }
     }
 
-    /// Takes in an entry heard from another node; true if it changed what is known.
+    /// Merges an entry received from another node; true if it changed the table.
     pub fn learn(&mut self, now: Moment, entry: MemberEntry) -> bool {
         if entry.node == self.own {
             return false;
@@ -148,26 +144,26 @@
         match self.rows.get_mut(&entry.node) {
             Some(row) if is_newer(&entry, &row.entry) => {
                 row.entry = entry;
-                row.heard = now;
+                row.last_update = now;
                 true
             }
             Some(_) => false,
             None => {
-                self.rows.insert(entry.node.clone(), MemberRow { entry, heard: now });
+                self.rows.insert(entry.node.clone(), MemberRow { entry, last_update: now });
                 true
             }
         }
     }
 
-    /// Drops nodes not heard of for long.
+    /// Removes nodes and handovers without an update for `forget_after`.
     pub fn forget(&mut self, now: Moment) {
         let limit = self.times.forget_after;
         let own = self.own.clone();
-        self.rows.retain(|node, row| *node == own || now.since(row.heard) < limit);
-        self.handovers.retain(|_, (_, learnt)| now.since(*learnt) < limit);
+        self.rows.retain(|node, row| *node == own || now.since(row.last_update) < limit);
+        self.handovers.retain(|_, (_, received)| now.since(*received) < limit);
     }
 
-    /// Learns which node took over the tickets of a run that was stopped as planned.
+    /// Merges the record of a ticket handover; more hops supersede fewer.
     pub fn learn_handover(&mut self, now: Moment, record: HandoverRecord) {
         let key = (record.node.clone(), record.incarnation);
         let known = self.handovers.get(&key).map(|(known, _)| known.hops);
@@ -176,7 +172,7 @@
         }
     }
 
-    /// The node that answers for the tickets of a run: itself, or the last that took over.
+    /// The node responsible for the tickets of a run: the node itself, or the last one that took them over.
     pub fn ticket_holder(&self, node: &NodeId, incarnation: Incarnation) -> TicketHolder {
         if let Some((record, _)) = self.handovers.get(&(node.clone(), incarnation)) {
             let successor = record.successor.clone();
@@ -186,35 +182,35 @@
         TicketHolder { alive, node: node.clone() }
     }
 
-    /// All hand-overs still remembered.
+    /// All handovers that have not expired.
     pub fn handovers(&self) -> Vec<HandoverRecord> {
         self.handovers.values().map(|(record, _)| record.clone()).collect()
     }
 
-    /// How a node looks from here.
+    /// The health of a node according to the failure detector.
     pub fn health(&self, now: Moment, node: &NodeId) -> MemberHealth {
         let Some(row) = self.rows.get(node) else { return MemberHealth::Dead };
-        let silent = now.since(row.heard).saturating_sub(self.own_pause(now));
+        let silence = now.since(row.last_update).saturating_sub(self.own_stall(now));
         if *node == self.own {
             return MemberHealth::Live;
         }
-        if row.entry.state == MemberState::Gone || silent >= self.times.dead_after {
+        if row.entry.state == MemberState::Gone || silence >= self.times.dead_after {
             return MemberHealth::Dead;
         }
-        if silent >= self.times.suspect_after { MemberHealth::Suspect } else { MemberHealth::Live }
+        if silence >= self.times.suspect_after { MemberHealth::Suspect } else { MemberHealth::Live }
     }
 
-    /// An entry.
+    /// The entry of a node.
     pub fn get(&self, node: &NodeId) -> Option<&MemberEntry> {
         self.rows.get(node).map(|row| &row.entry)
     }
 
-    /// All entries, by node.
+    /// All entries, sorted by node.
     pub fn entries(&self) -> impl Iterator<Item = &MemberEntry> {
         self.rows.values().map(|row| &row.entry)
     }
 
-    /// Nodes that may be given work: they say they are live and do not look dead.
+    /// Nodes eligible for work: those that report themselves live and that are not considered dead.
     pub fn workers(&self, now: Moment) -> impl Iterator<Item = &MemberEntry> {
         let entries = self.entries();
         entries.filter(move |entry| {
@@ -222,14 +218,14 @@
         })
     }
 
-    /// The next entries to pass on: one's own, then the others in turn, at most `most`.
+    /// The next entries to gossip, at most `most`: the own entry, then the others in rotation.
     pub fn sample(&mut self, most: usize) -> Vec<MemberEntry> {
         let mut sample = vec![self.own().clone()];
         let start = self.cursor.take();
         let after = self.rows.keys().filter(|node| start.as_ref().is_some_and(|start| *node > start));
         let from_start = self.rows.keys().filter(|node| start.as_ref().is_none_or(|start| *node <= start));
-        let turn = after.chain(from_start).filter(|node| **node != self.own);
-        let chosen: Vec<NodeId> = turn.take(most.saturating_sub(1)).cloned().collect();
+        let rotation = after.chain(from_start).filter(|node| **node != self.own);
+        let chosen: Vec<NodeId> = rotation.take(most.saturating_sub(1)).cloned().collect();
         sample.extend(chosen.iter().filter_map(|node| self.get(node).cloned()));
         self.cursor = chosen.last().cloned();
         sample
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -1,67 +1,67 @@
-//! Where the shards of a request are queried: which nodes of a failure domain do so for the others,
-//! and how many batches its shards make.
+//! Decides which nodes query the shards of a request: the owner nodes of a failure domain, and the number of
+//! batches for them.
 //!
-//! The load pattern: hundreds of nodes, a few of them several times as strong as the others, and
-//! requests to hundreds of shards. Each weak node takes a request in seconds: it has neither
-//! connections nor beliefs of servers, and its processor needs as long as an answer may take. The
-//! strong nodes of a failure domain see the whole traffic of its servers.
+//! The load pattern is a fleet of hundreds of nodes, a few of them several times as powerful as the others, with
+//! requests to hundreds of shards. A weak node local takes seconds per request: it has neither connections
+//! to the servers nor statistics about them, and its processor needs as long as an answer may take. The strong
+//! nodes of a failure domain see the whole traffic of the servers there.
 
 use std::time::Duration;
 
 use streamfold_model::CoreShare;
 
-/// Processor time of a call to a server, on a whole core: slope of the lab's fit by servers.
-const CALL_WORK: Duration = Duration::from_micros(48);
-/// Processor time of a batch beyond its calls, at the node that sends it and at the one that has it
-/// in equal parts: difference of the lab's intercepts with two hops and with one.
-const BATCH_WORK: Duration = Duration::from_micros(89);
-/// The part of a request's target latency that the calls of one batch may take of the processor:
-/// the servers need most of the rest.
-const BATCH_SHARE: f64 = 0.06;
-/// Shards near a node are handed on where that takes less than this part of what they take here;
-/// the figures are estimates, and each hop is one more that may fail.
-const HANDING_SHARE: f64 = 0.7;
-/// Nodes at least so strong, relative to the strongest of their failure domain, are its owners. A
-/// batch takes no more than twice as long at one as at another.
-const OWNER_SHARE: f64 = 0.5;
+/// Processor time of one call to a server on a full core: the slope of the lab's linear fit over the server count.
+const CALL_CPU_TIME: Duration = Duration::from_micros(48);
+/// Processor time of a batch in addition to its calls, the same at the sender and at the receiver: the difference
+/// between the intercepts of the lab's fits with two hops and with one hop.
+const BATCH_CPU_TIME: Duration = Duration::from_micros(89);
+/// The part of a request's target latency that the calls of one batch may spend on the processor. The servers
+/// need most of the rest.
+const BATCH_LATENCY_SHARE: f64 = 0.06;
+/// Near shards are delegated only if that takes less than this fraction of the local time: the costs are estimates,
+/// and each hop is one more point of failure.
+const DELEGATION_THRESHOLD: f64 = 0.7;
+/// Nodes with at least this fraction of the power of the strongest node in their failure domain are owners there.
+/// A batch takes at most twice as long at one owner as at another.
+const OWNER_POWER_RATIO: f64 = 0.5;
 
-/// Whether a node is an owner in a failure domain whose strongest node is known. Where powers are
-/// not told all nodes are.
+/// Whether a node is an owner in its failure domain, given the power of the strongest node there. If no node
+/// reports its power, all nodes are owners.
 pub fn is_owner(power: Option<CoreShare>, strongest: Option<CoreShare>) -> bool {
     let share = |power: Option<CoreShare>| power.map_or(0.0, |power| f64::from(power.0));
-    share(power) >= share(strongest) * OWNER_SHARE
+    share(power) >= share(strongest) * OWNER_POWER_RATIO
 }
 
-/// Processor time of a batch of so many shards at the node that has it, on a whole core.
+/// Processor time of a batch of `shards` shards at the receiving node, on a full core.
 pub fn batch_cpu_time(shards: usize) -> Duration {
-    BATCH_WORK + CALL_WORK * shards as u32
+    BATCH_CPU_TIME + CALL_CPU_TIME * shards as u32
 }
 
-/// Nodes that may be given shards of one failure domain.
+/// The owner nodes that may query the shards of one failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OwnerGroup {
-    /// How many there are.
+    /// Number of owners.
     pub count: usize,
-    /// The processor that the weakest of them has.
+    /// Processor share of the weakest owner.
     pub power: CoreShare,
 }
 
 impl OwnerGroup {
-    /// The batches that so many shards make, where an answer is wanted within `target`.
+    /// The number of batches for `shards` shards and a target latency of `target`.
     pub fn count_batches(&self, shards: usize, target: Duration) -> usize {
-        let call = self.power.stretch(CALL_WORK).as_secs_f64();
-        let most = (target.as_secs_f64() * BATCH_SHARE / call).max(1.0);
+        let call = self.power.stretch(CALL_CPU_TIME).as_secs_f64();
+        let most = (target.as_secs_f64() * BATCH_LATENCY_SHARE / call).max(1.0);
         let batches = (shards as f64 / most).ceil() as usize;
         batches.clamp(1, self.count.max(1))
     }
 
-    /// Whether shards near a node of a power are better handed to these than asked for by itself.
+    /// Whether delegating near shards to these owners is faster than querying them from a node with the power `own`.
     pub fn is_delegation_faster(&self, shards: usize, target: Duration, own: CoreShare) -> bool {
         let batches = self.count_batches(shards, target) as u32;
         let largest = (shards as u32).div_ceil(batches);
-        let alone = own.stretch(CALL_WORK * shards as u32);
-        let sending = own.stretch(BATCH_WORK * batches);
-        let handed = sending + self.power.stretch(batch_cpu_time(largest as usize));
-        self.count > 0 && handed < alone.mul_f64(HANDING_SHARE)
+        let local = own.stretch(CALL_CPU_TIME * shards as u32);
+        let sending = own.stretch(BATCH_CPU_TIME * batches);
+        let delegated = sending + self.power.stretch(batch_cpu_time(largest as usize));
+        self.count > 0 && delegated < local.mul_f64(DELEGATION_THRESHOLD)
     }
 }
--- a/crates/policy/src/reader_probe.rs
+++ b/crates/policy/src/reader_probe.rs
@@ -1,48 +1,48 @@
-//! When a node that follows the platform's store by itself looks for a reader.
+//! Schedule by which a node that reads the platform's store directly probes for a reader to follow.
 //!
-//! The load pattern: the store was away, and each of hundreds of nodes asks for itself whether it is back, while those
-//! before it in its failure domain have been answered already.
+//! The load pattern is a store outage after which each of hundreds of nodes calls the store to find out whether it has
+//! recovered, although nodes that rank before it in its failure domain have already been answered.
 
 use std::time::Duration;
 
-/// How soon a node that follows the store looks for a reader, doubled with each look in vain, and how often at least:
-/// many nodes that lost their reader together follow the store for a moment.
-const FIRST_LOOK: Duration = Duration::from_millis(500);
-const LOOK_EVERY: Duration = Duration::from_secs(3);
-/// How often at least while the store refuses calls: those before it ask the store more often, and may have been
-/// answered.
-const LOOK_WHILE_REFUSED: Duration = Duration::from_millis(500);
-/// Doublings of the first pause.
+/// Delay before the first probe, doubled with each failed probe, and the longest delay. Many nodes that lose their
+/// reader together read the store directly for a moment.
+const FIRST_DELAY: Duration = Duration::from_millis(500);
+const MAX_DELAY: Duration = Duration::from_secs(3);
+/// Longest delay while the store refuses calls: nodes that rank before this one call the store more often and may have
+/// been answered.
+const MAX_DELAY_WHILE_REFUSED: Duration = Duration::from_millis(500);
+/// Maximum number of doublings of the first delay.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// How long a call to a store that refused the last one waits for a look: a reader begins, or refuses, within a few
-/// milliseconds, and the store is not to be asked noticeably later for one that is silent.
+/// How long a call to a store that refused the previous one waits for a reader probe. A reader accepts or refuses
+/// within a few milliseconds, and an unresponsive reader must not delay the store call noticeably.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Whether the node of a rank in its failure domain looks for a reader before it asks a store that refused its last
-/// call: the first has none.
+/// Whether the node with the given rank in its failure domain probes for a reader before it calls a store that refused
+/// its last call. The first node has no reader.
 pub fn is_probe_first(rank: usize) -> bool {
     rank > 0
 }
 
-/// The pauses between looks for a reader.
+/// The delays between probes for a reader.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ProbeSchedule {
-    looks: u32,
+    probes: u32,
     was_refused: bool,
 }
 
 impl ProbeSchedule {
-    /// The pause before the next look. Looks begin anew when the store takes calls again: those before this node are
-    /// about to follow it.
-    pub fn next_pause(&mut self, is_refused: bool) -> Duration {
+    /// The delay before the next probe. The schedule restarts when the store accepts calls again, since nodes that
+    /// rank before this one are about to read it.
+    pub fn next_delay(&mut self, is_refused: bool) -> Duration {
         if self.was_refused && !is_refused {
-            self.looks = 0;
+            self.probes = 0;
         }
         self.was_refused = is_refused;
-        let longest = if is_refused { LOOK_WHILE_REFUSED } else { LOOK_EVERY };
-        let pause = FIRST_LOOK.saturating_mul(1 << self.looks).min(longest);
-        self.looks = (self.looks + 1).min(MAX_DOUBLINGS);
-        pause
+        let longest = if is_refused { MAX_DELAY_WHILE_REFUSED } else { MAX_DELAY };
+        let delay = FIRST_DELAY.saturating_mul(1 << self.probes).min(longest);
+        self.probes = (self.probes + 1).min(MAX_DOUBLINGS);
+        delay
     }
 }
--- a/crates/policy/src/store_backoff.rs
+++ b/crates/policy/src/store_backoff.rs
@@ -1,28 +1,28 @@
-//! How long a node waits after a call that the platform's store did not take.
+//! Backoff after calls that the platform's store refused.
 //!
-//! The load pattern: the store is away for seconds, or breaks every connection, and each of hundreds of nodes loses its
-//! reader and asks the store by itself.
+//! The load pattern is a store that is unavailable or breaks every connection for seconds, while each of hundreds of
+//! nodes loses its reader and calls the store directly.
 
 use std::time::Duration;
 
-/// The pause of the first node of a failure domain after its first refused call, and its longest: that it finds the
-/// store back within a second is soon enough.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-/// By so much the first and the longest pause grow with each rank: nodes before this one ask for all, and it looks for a
-/// reader among them meanwhile.
+/// First and longest delay of the first node of a failure domain. It is soon enough if that node notices the recovery
+/// of the store within a second.
+const FIRST_DELAY: Duration = Duration::from_millis(100);
+const LONGEST_DELAY: Duration = Duration::from_millis(800);
+/// Increase of the first and of the longest delay with each rank. Nodes that rank before this one call the store for
+/// all, and this node probes for a reader among them in the meantime.
 const FIRST_STEP: Duration = Duration::from_millis(400);
 const LONGEST_STEP: Duration = Duration::from_millis(600);
-/// The longest pause of any node, which may be the only one that the store does not turn away.
+/// Longest delay of any node, since it may be the only one that the store does not reject.
 const LONGEST_OF_ALL: Duration = Duration::from_secs(3);
-/// Doublings of the first pause.
+/// Maximum number of doublings of the first delay.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// The pause after so many refused calls in a row, at the node of a rank in its failure domain: 0 where the nodes do
-/// not share a reader.
+/// The delay after `failures` consecutive refused calls. `rank` is the rank of the node in its failure domain, 0 if the
+/// nodes do not share readers.
 pub fn backoff_delay(failures: u32, rank: usize) -> Duration {
     let rank = u32::try_from(rank).unwrap_or(u32::MAX);
-    let longest = LONGEST_PAUSE.saturating_add(LONGEST_STEP.saturating_mul(rank)).min(LONGEST_OF_ALL);
-    let first = FIRST_PAUSE.saturating_add(FIRST_STEP.saturating_mul(rank));
+    let longest = LONGEST_DELAY.saturating_add(LONGEST_STEP.saturating_mul(rank)).min(LONGEST_OF_ALL);
+    let first = FIRST_DELAY.saturating_add(FIRST_STEP.saturating_mul(rank));
     first.saturating_mul(1 << failures.min(MAX_DOUBLINGS)).min(longest)
 }
--- a/crates/policy/src/watch_timeout.rs
+++ b/crates/policy/src/watch_timeout.rs
@@ -1,32 +1,33 @@
-//! How long a watch waits in the platform's store, so that topics that rarely change cost few calls.
+//! Timeouts of watches (long polls) in the platform's store, chosen so that topics that rarely change cost few calls.
 //!
-//! The load pattern: each reader asks for every topic every few seconds on a calm day, because a connection that falls
-//! silent for good must be found. The store counts all changes by one number. While that number stands still nothing
-//! can have been missed, and one watch that is renewed often tells the others that it does.
+//! The load pattern is a day with few changes, on which each reader would renew the watch of every topic every few
+//! seconds, because it must detect a dead connection. The store numbers all changes with one revision. While the
+//! revision stays the same, no watch can have missed a change, and one watch that is renewed often reports the
+//! revision for the others.
 
 use std::time::Duration;
 
-/// The longest that a watch waits: the store allows no more.
+/// Longest timeout of a watch, which is the maximum that the store allows.
 pub const LONGEST_WAIT: Duration = Duration::from_secs(30);
 
-/// What a watch that is about to begin has to know.
+/// The state from which the timeout of a new watch is chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WatchProgress {
-    /// The number of the last change that the topic is known up to.
+    /// Revision up to which the topic is known.
     pub topic_revision: u64,
-    /// The number of the last change of which any answer of the store told.
+    /// Latest revision reported by any response of the store.
     pub store_revision: u64,
-    /// How long a watch may be silent where something may have changed.
+    /// How long a watch may stay silent if it may have missed a change.
     pub silence_within: Duration,
 }
 
-/// How long a watch waits that relies on another one, which is renewed after `silence_within`.
-pub fn choose_wait(ask: &WatchProgress) -> Duration {
-    if is_overdue(ask, ask.silence_within) { ask.silence_within } else { LONGEST_WAIT }
+/// The timeout of a watch that relies on another one, which is renewed every `silence_within`.
+pub fn choose_wait(progress: &WatchProgress) -> Duration {
+    if is_overdue(progress, progress.silence_within) { progress.silence_within } else { LONGEST_WAIT }
 }
 
-/// Whether a watch of some age is to be begun anew: something has changed that it did not tell of, and its connection
-/// may have fallen silent.
-pub fn is_overdue(ask: &WatchProgress, age: Duration) -> bool {
-    ask.store_revision > ask.topic_revision && age >= ask.silence_within
+/// Whether a watch of the given age must be renewed: the store has a newer revision than the watch has reported, and its
+/// connection may be dead.
+pub fn is_overdue(progress: &WatchProgress, age: Duration) -> bool {
+    progress.store_revision > progress.topic_revision && age >= progress.silence_within
 }
--- a/crates/policy/tests/absence.rs
+++ b/crates/policy/tests/absence.rs
@@ -1,4 +1,4 @@
-//! When nodes that cannot be reached count as gone.
+//! When unreachable nodes count as gone.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
 }
 
 #[test]
-fn a_node_is_gone_once_no_look_has_reached_it_for_the_limit() {
-    let mut book = AbsenceTracker::default();
+fn a_node_is_gone_after_no_scan_has_reached_it_for_the_limit() {
+    let mut tracker = AbsenceTracker::default();
     let mut seen = Vec::new();
-    // One look in between that reaches it starts the count anew.
+    // A scan that reaches it restarts the time limit.
     for (second, is_reached) in [(0, false), (30, false), (59, true), (61, false), (120, false), (121, false)] {
-        let gone = book.note_scan(at(second), &[("a", is_reached), ("b", true)], false, LIMIT);
+        let gone = tracker.note_scan(at(second), &[("a", is_reached), ("b", true)], false, LIMIT);
         seen.push(format!("{second} s: {gone:?}"));
     }
     insta::assert_snapshot!(seen.join("\n"), @r#"
@@ -31,13 +31,13 @@
 }
 
 #[test]
-fn a_look_that_reaches_nothing_tells_of_the_looker() {
-    let mut book = AbsenceTracker::default();
+fn a_scan_that_reaches_nothing_is_discarded() {
+    let mut tracker = AbsenceTracker::default();
     let cut_off: Vec<usize> =
-        (0..=9).map(|look| book.note_scan(at(look * 30), &[("a", false), ("b", false)], false, LIMIT).len()).collect();
+        (0..=9).map(|scan| tracker.note_scan(at(scan * 30), &[("a", false), ("b", false)], false, LIMIT).len()).collect();
     assert_eq!(cut_off, [0; 10]);
-    // Nodes elsewhere are reached: both are gone after the limit, counted from now.
+    // Other nodes are reachable, so both count as gone once the limit has passed from now.
     let gone: Vec<usize> =
-        (10..=13).map(|look| book.note_scan(at(look * 30), &[("a", false), ("b", false)], true, LIMIT).len()).collect();
+        (10..=13).map(|scan| tracker.note_scan(at(scan * 30), &[("a", false), ("b", false)], true, LIMIT).len()).collect();
     assert_eq!(gone, [0, 0, 2, 2]);
 }
--- a/crates/policy/tests/members.rs
+++ b/crates/policy/tests/members.rs
@@ -1,4 +1,4 @@
-//! What a node believes of others when it did not run itself.
+//! The failure detector, also after a stall of the own process.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// A table whose own node has run for a while and heard another one last at its last beat.
+/// A table of a node that has run for a while and has just received the other node's last heartbeat.
 fn table() -> (MemberTable, Moment) {
     let mut now = Moment::default();
     let mut table = MemberTable::new(entry("own", 0), TIMES, now);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_node_that_is_silent_while_this_one_runs_is_dead() {
+fn a_node_without_heartbeats_is_declared_dead() {
     let (mut table, mut now) = table();
     for _ in 0..10 {
         now = now.plus(BEAT);
@@ -53,16 +53,17 @@
     assert_eq!(table.health(now, &node("other")), MemberHealth::Dead);
 }
 
-/// A machine that is too busy gives this node no processor for seconds. It then heard nobody, since it did not listen, and
-/// told callers that tickets of living nodes were lost: 24 to 30 of 50 orders ran beside a load of 25 on 8 cores.
+/// Guards against false failure detection by a node that got no processor time for seconds on a busy machine. It
+/// received no heartbeats in that time, and reported tickets of live nodes as lost: at a load of 25 on 8 cores that
+/// affected 24 to 30 of 50 orders.
 #[test]
-fn time_in_which_this_node_did_not_run_does_not_count_against_others() {
+fn a_stall_of_this_node_does_not_make_other_nodes_dead() {
     let (mut table, now) = table();
-    let woken = now.plus(Duration::from_secs(5));
-    assert_ne!(table.health(woken, &node("other")), MemberHealth::Dead, "before its own next beat");
-    table.update_own(woken, |_| {});
-    assert_ne!(table.health(woken, &node("other")), MemberHealth::Dead, "after it");
-    let later = woken.plus(BEAT * 4);
+    let resumed = now.plus(Duration::from_secs(5));
+    assert_ne!(table.health(resumed, &node("other")), MemberHealth::Dead, "before its own next heartbeat");
+    table.update_own(resumed, |_| {});
+    assert_ne!(table.health(resumed, &node("other")), MemberHealth::Dead, "after its own next heartbeat");
+    let later = resumed.plus(BEAT * 4);
     table.update_own(later, |_| {});
     assert_ne!(table.health(later, &node("other")), MemberHealth::Dead);
     let mut silent = later;
@@ -70,5 +71,5 @@
         silent = silent.plus(BEAT);
         table.update_own(silent, |_| {});
     }
-    assert_eq!(table.health(silent, &node("other")), MemberHealth::Dead, "now it was listened to");
+    assert_eq!(table.health(silent, &node("other")), MemberHealth::Dead, "silent while this node was running");
 }
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where shards are queried, by the sizes of nodes.
+//! Owner nodes, batch counts and delegation, depending on the power of the nodes.
 
 use std::time::Duration;
 
@@ -12,16 +12,16 @@
 }
 
 #[test]
-fn the_strong_nodes_of_a_failure_domain_own_its_servers() {
+fn nodes_with_half_the_power_of_the_strongest_are_owners() {
     let strongest = Some(CoreShare(500));
     let owners = [500, 250, 249, 120].map(|power| is_owner(Some(CoreShare(power)), strongest));
     assert_eq!(owners, [true, true, false, false]);
-    assert!(!is_owner(None, strongest), "one that tells nothing is no owner beside strong ones");
-    assert!(is_owner(None, None), "where nobody tells anything all are");
+    assert!(!is_owner(None, strongest), "a node without a reported power is no owner beside strong nodes");
+    assert!(is_owner(None, None), "all nodes are owners if none reports its power");
 }
 
 #[test]
-fn shards_are_split_where_one_node_would_need_too_long() {
+fn shards_are_split_into_batches_when_one_node_takes_too_long() {
     let batches: Vec<String> = [(8, 250), (30, 250), (60, 500), (90, 500), (135, 500), (135, 120)]
         .map(|(shards, power)| {
             let group = group(3, power);
@@ -40,11 +40,11 @@
 }
 
 #[test]
-fn weak_nodes_hand_even_near_shards_on_and_equal_ones_keep_them() {
+fn weak_nodes_delegate_near_shards_and_equally_strong_ones_do_not() {
     let weak = CoreShare(120);
     assert!(group(3, 500).is_delegation_faster(90, TARGET, weak));
     assert!(group(3, 500).is_delegation_faster(18, TARGET, weak));
     assert!(!group(3, 500).is_delegation_faster(2, TARGET, weak), "the batch costs more than the calls");
     assert!(!group(3, 250).is_delegation_faster(20, TARGET, CoreShare(250)));
-    assert!(!group(0, 500).is_delegation_faster(90, TARGET, weak), "there is nobody to ask");
+    assert!(!group(0, 500).is_delegation_faster(90, TARGET, weak), "there is no owner to delegate to");
 }
--- a/crates/policy/tests/reader_choice.rs
+++ b/crates/policy/tests/reader_choice.rs
@@ -1,4 +1,4 @@
-//! Who follows the store for a failure domain.
+//! Selection of the nodes that read the store for a failure domain.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     (0..count).map(|number| format!("node-{number}")).collect()
 }
 
-/// The choice among nodes that are equally strong.
+/// The choice of a node if all nodes are equally strong.
 fn choose<'a>(own: &str, names: &[&'a str]) -> ReaderChoice<'a> {
     let nodes: Vec<ReaderCandidate> = names.iter().map(|name| ReaderCandidate { name, power: None }).collect();
     reader_choice::choose_readers(own, "zone-a", &nodes)
@@ -23,14 +23,14 @@
     nodes.iter().map(String::as_str).collect()
 }
 
-/// Nodes that follow the store by themselves.
+/// Number of nodes that read the store directly.
 fn count_readers(nodes: &[String]) -> usize {
     let names = names(nodes);
     names.iter().filter(|own| choose_readers(own, &names).is_empty()).count()
 }
 
 #[test]
-fn one_node_follows_the_store_where_there_are_many_and_each_where_there_are_few() {
+fn one_of_many_nodes_reads_the_store_and_each_of_a_few() {
     let readers: Vec<String> =
         [1, 2, 3, 4, 10, 76].map(|count| format!("{count} nodes: {}", count_readers(&nodes(count)))).to_vec();
     insta::assert_snapshot!(readers.join("\n"), @r"
@@ -44,9 +44,9 @@
 }
 
 #[test]
-fn no_two_nodes_follow_each_other_whatever_they_know() {
+fn no_two_nodes_follow_each_other_with_different_views() {
     let all = nodes(12);
-    // Every node knows another part of the others.
+    // Every node knows a different subset of the others.
     let known = |own: usize| -> Vec<&str> {
         all.iter()
             .enumerate()
@@ -63,7 +63,7 @@
     }
 }
 
-/// How many nodes prefer each reader, the most first.
+/// Number of nodes that prefer each reader, in descending order.
 fn count_followers(nodes: &[String]) -> Vec<usize> {
     let names = names(nodes);
     let mut counts = std::collections::HashMap::new();
@@ -93,13 +93,13 @@
 }
 
 #[test]
-fn a_node_that_is_not_among_those_known_follows_nobody() {
+fn a_node_missing_from_its_own_view_follows_no_reader() {
     let all = nodes(10);
     assert!(choose_readers("unknown", &names(&all)).is_empty());
 }
 
 #[test]
-fn strong_nodes_are_followed_by_the_weak_ones() {
+fn weak_nodes_follow_strong_nodes() {
     let all = nodes(48);
     let names = names(&all);
     let power = |position: usize| if position < 3 { CoreShare(500) } else { CoreShare(120) };
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn of_nodes_that_start_together_only_the_first_ones_lose_patience_soon() {
+fn few_of_the_nodes_that_start_together_have_a_short_startup_wait() {
     let all = nodes(48);
     let names = names(&all);
     let mut waits: Vec<Duration> = names.iter().map(|own| choose(own, &names).startup_wait).collect();
@@ -120,15 +120,15 @@
     assert_eq!((waits[0], soon, waits[47]), (Duration::ZERO, 4, Duration::from_millis(1_200)));
 }
 
-/// Some strong nodes and many weak ones.
+/// A set of strong and weak nodes.
 fn mixed(strong: usize, weak: usize) -> Vec<(String, CoreShare)> {
     let strong = (0..strong).map(|number| (format!("strong-{number}"), CoreShare(1_000)));
     strong.chain((0..weak).map(|number| (format!("weak-{number}"), CoreShare(120)))).collect()
 }
 
 #[test]
-fn among_hundreds_of_nodes_weak_ones_follow_strong_ones_and_none_follows_a_weak_one() {
-    // A failure domain of the largest deployment, and twice as many nodes.
+fn no_node_follows_a_weak_one_among_hundreds_of_nodes() {
+    // A failure domain of the largest deployment, and ones with up to twice as many nodes.
     for (strong, weak) in [(10, 180), (20, 360), (10, 320)] {
         let all = mixed(strong, weak);
         let nodes: Vec<ReaderCandidate> = all.iter().map(|(name, power)| ReaderCandidate { name, power: Some(*power) }).collect();
@@ -153,13 +153,13 @@
 }
 
 #[test]
-fn who_hears_that_a_reader_is_about_to_begin_waits_by_its_rank() {
+fn the_wait_for_a_starting_reader_grows_with_the_rank() {
     let all = mixed(10, 180);
     let nodes: Vec<ReaderCandidate> = all.iter().map(|(name, power)| ReaderCandidate { name, power: Some(*power) }).collect();
     let waits = all.iter().map(|(own, _)| reader_choice::choose_readers(own, "zone-a", &nodes).starting_reader_wait);
     let mut waits: Vec<Duration> = waits.collect();
     waits.sort_unstable();
-    // A listing of seconds is taken from the store by so many nodes and no more.
+    // At most this many nodes fetch a listing from the store if it takes seconds.
     let early = waits.iter().filter(|wait| **wait < Duration::from_secs(2)).count();
-    assert!(early <= 16, "{early} of {} nodes lose startup_wait within two seconds", waits.len());
+    assert!(early <= 16, "{early} of {} nodes wait less than two seconds", waits.len());
 }
--- a/crates/policy/tests/watch_timeout.rs
+++ b/crates/policy/tests/watch_timeout.rs
@@ -1,4 +1,4 @@
-//! How long watches wait that rely on another one.
+//! Timeouts of watches that rely on another watch.
 
 use std::time::Duration;
 
@@ -6,23 +6,23 @@
 
 const SILENCE: Duration = Duration::from_secs(6);
 
-fn ask(known: u64, told: u64) -> WatchProgress {
-    WatchProgress { topic_revision: known, store_revision: told, silence_within: SILENCE }
+fn progress(topic_revision: u64, store_revision: u64) -> WatchProgress {
+    WatchProgress { topic_revision, store_revision, silence_within: SILENCE }
 }
 
-/// Watches that a topic begins in a time in which the store tells of changes of other topics at some seconds; each
-/// answer to a short one says that the topic is known up to the last change.
+/// Number of watches that a topic starts within `seconds`, while other topics change at the seconds `changed_at`. Each
+/// response to a short watch confirms that the topic is topic_revision up to the latest revision.
 fn count_watches(changed_at: &[u64], seconds: u64) -> usize {
-    let told = |now: u64| changed_at.iter().filter(|at| **at <= now).count() as u64;
-    let (mut known, mut begun, mut wait, mut count) = (0, 0, LONGEST_WAIT, 1);
+    let store_revision = |now: u64| changed_at.iter().filter(|at| **at <= now).count() as u64;
+    let (mut topic_revision, mut started, mut timeout, mut count) = (0, 0, LONGEST_WAIT, 1);
     for now in 1..=seconds {
-        let age = Duration::from_secs(now - begun);
-        let is_answered = age >= wait;
+        let age = Duration::from_secs(now - started);
+        let is_answered = age >= timeout;
         if is_answered {
-            known = told(now);
+            topic_revision = store_revision(now);
         }
-        if is_answered || (wait == LONGEST_WAIT && is_overdue(&ask(known, told(now)), age)) {
-            (begun, wait) = (now, choose_wait(&ask(known, told(now))));
+        if is_answered || (timeout == LONGEST_WAIT && is_overdue(&progress(topic_revision, store_revision(now)), age)) {
+            (started, timeout) = (now, choose_wait(&progress(topic_revision, store_revision(now))));
             count += 1;
         }
     }
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_topic_of_a_calm_minute_costs_three_watches_and_never_more_than_one_each_six_seconds() {
+fn an_unchanged_topic_costs_three_watches_a_minute_and_never_more_than_one_each_six_seconds() {
     let always: Vec<u64> = (0..60).collect();
     let seen = [&[][..], &[3], &[3, 40], &always].map(|changes| count_watches(changes, 60));
     insta::assert_snapshot!(format!("{seen:?}"), @"[3, 4, 5, 11]");
@@ -38,11 +38,11 @@
 }
 
 quickcheck::quickcheck! {
-    fn a_watch_that_missed_nothing_is_never_begun_anew_and_one_that_may_have_is_after_its_time(
-        known: u64, told: u64, age_ms: u16
+    fn only_a_watch_that_may_have_missed_a_change_is_renewed_early(
+        topic_revision: u64, store_revision: u64, age_ms: u16
     ) -> bool {
-        let (ask, age) = (ask(known, told), Duration::from_millis(u64::from(age_ms)));
-        is_overdue(&ask, age) == (told > known && age >= SILENCE)
-            && choose_wait(&ask) == if told > known { SILENCE } else { LONGEST_WAIT }
+        let (progress, age) = (progress(topic_revision, store_revision), Duration::from_millis(u64::from(age_ms)));
+        is_overdue(&progress, age) == (store_revision > topic_revision && age >= SILENCE)
+            && choose_wait(&progress) == if store_revision > topic_revision { SILENCE } else { LONGEST_WAIT }
     }
 }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -133,7 +133,7 @@
             None => {
                 router.set_source(FeedSource::Store);
                 lost = None;
-                let pause = plan.next_pause(router.store_turn.is_refused());
+                let pause = plan.next_delay(router.store_turn.is_refused());
                 tokio::select! {
                     () = tokio::time::sleep(pause.mul_f64(rand::random_range(0.8..1.2))) => {}
                     () = router.store_turn.wait_look_wanted() => {}
