--- a/crates/policy/src/canary.rs
+++ b/crates/policy/src/canary.rs
@@ -1,12 +1,14 @@
-//! A request whose content is suspect goes to one server first.
+//! Canary calls: a request whose content is suspect goes to one server before it goes to the others.
 //!
-//! The load pattern: a request over every shard ends a server of each at once, and its retries end the others,
-//! where one server would have shown what it does. One that is suspect without reason loses the time of one
-//! call. Which request did it cannot be known the first time, so one over shards that lost a call sends nothing
-//! more until it is known what became of the server, and nothing at all if several ended and nobody has answered
-//! it: the other server of each shard lives on. Once its calls have been out for as long as calls usually take, and
-//! still nobody has answered, it is to blame: a request that only ran beside it has answers by then. Until somebody has
-//! answered, few second calls go out.
+//! The failure is a request over all shards that crashes one server of each shard at once, and whose retries crash the
+//! other servers, although a single server would have shown the effect. A request that is suspect by mistake only loses
+//! the time of one call.
+//!
+//! On the first occurrence it is unknown which request caused the crashes. A request over shards that has lost a call
+//! therefore sends no further calls until it is known whether the server crashed. It sends none at all if several
+//! servers crashed and no server has answered it, so that the other server of each shard survives. If its calls have
+//! been open for the usual time of a call and still no server has answered, the request is at fault, since a request
+//! that only ran beside the faulty one has answers by then. Before the first answer only few hedged calls are sent.
 
 use std::time::Duration;
 
@@ -15,135 +17,135 @@
 use crate::Moment;
 use crate::crash_tracker::{ContentStatus, MIN_CRASHES};
 
-/// How long after a request lost several calls it waits until it is known whether servers ended: a look
-/// 5 ms later, and the way to a region 12 ms away and back.
+/// How long a request that lost several calls waits until it is known whether servers crashed: a check 5 ms
+/// later, plus the round trip to a region with a one-way latency of 12 ms.
 pub const VERDICT_TIMEOUT: Duration = Duration::from_millis(30);
-/// The same for a request over shards that lost several calls while nobody has answered it: servers that run the same
-/// end up to 90 ms after one another.
-const LONG_VERDICT_WITHIN: Duration = Duration::from_millis(90);
+/// The same time for a request over shards that lost several calls before any answer: servers that run the same
+/// content crash up to 90 ms apart.
+const LONG_VERDICT_TIMEOUT: Duration = Duration::from_millis(90);
 
-/// Second calls of a request over shards while no server has answered it: with as many the first ones would show
-/// whether it ends servers, and a few that pause at once are gone round.
-const MAX_BLIND_HEDGES: usize = MIN_CRASHES - 1;
+/// Maximum number of hedged calls of a request over shards before the first answer. With these, the first calls still
+/// show whether the request crashes servers, and a few servers that pause at once can be avoided.
+const MAX_EARLY_HEDGES: usize = MIN_CRASHES - 1;
 
-/// How far the call that goes first has come.
+/// State of the canary call.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 enum CanaryState {
-    /// There was none.
+    /// No canary call has been sent.
     #[default]
     NotSent,
-    /// It is under way, or was answered and it is not known yet whether the server lives on.
+    /// The call is open, or it was answered and the survival of the server is not yet known.
     Sent { server: ServerId, at: Moment },
-    /// It was answered: the others may follow.
+    /// The call was answered, so the other calls may be sent.
     Passed,
-    /// It was lost: nothing more is sent.
+    /// The call was lost, so no further calls are sent.
     Failed,
 }
 
-/// Whether a call may be sent.
+/// Whether a request may send a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallPermission {
-    /// Yes.
+    /// The call may be sent.
     Allowed,
-    /// Yes, as the one that goes first.
+    /// The call may be sent as the canary.
     AsCanary,
-    /// Not before more is known.
+    /// The decision is pending.
     Wait,
-    /// No.
+    /// No call may be sent.
     Denied,
 }
 
-/// What becomes of a request whose calls are under way.
+/// The decision about a request with open calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestVerdict {
-    /// It goes on.
+    /// The request continues.
     Continue,
-    /// What it asks for is held off by now, and no server has answered it: its calls are cancelled.
+    /// Its content has been quarantined and no server has answered, so its calls are cancelled.
     Cancelled,
-    /// It is what ended the servers: what it asks for is held off from now on, and its calls are cancelled.
+    /// It caused the crashes, so its content is quarantined and its calls are cancelled.
     AtFault,
 }
 
-/// How the call that goes first ended.
+/// The outcome of the canary call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CanaryOutcome {
-    /// It was answered.
+    /// The server answered.
     Answered,
-    /// It reached no server.
+    /// The call reached no server.
     NotSent,
-    /// The server did not run it, so it told nothing.
+    /// The server did not run the request, so the call gives no information.
     NotRun,
-    /// It may have run and was not answered.
+    /// The server may have run the request and did not answer.
     Lost,
 }
 
-/// What one request knows of its own calls.
+/// One request's record of its own calls, from which its right to send further calls follows.
 #[derive(Debug, Default)]
 pub struct CanaryRecord {
-    /// Whether it is the one request of all nodes that tries a content held off.
+    /// Whether this is the single request among all nodes that tries a quarantined content.
     pub is_trial: bool,
-    /// Whether it goes to a server of every shard at once.
+    /// Whether the request is sent to a server of every shard at once.
     is_over_shards: bool,
-    first: CanaryState,
+    canary: CanaryState,
     lost: usize,
-    lost_at: Moment,
-    /// Whether calls were sent while nothing spoke against it.
-    was_free: bool,
+    last_lost_at: Moment,
+    /// Whether calls were sent while the content was not restricted.
+    was_unrestricted: bool,
     is_answered: bool,
-    /// Second calls sent before any answer.
-    blind_hedges: usize,
-    /// When the first of them was sent.
-    blind_since: Option<Moment>,
+    /// Number of hedged calls sent before the first answer.
+    early_hedges: usize,
+    /// Time of the first hedged call.
+    first_hedge_at: Option<Moment>,
 }
 
 impl CanaryRecord {
-    /// That of the one request of all nodes that tries a content held off.
+    /// Creates the record of the single request among all nodes that tries a quarantined content.
     pub fn trial() -> Self {
         Self { is_trial: true, ..Self::default() }
     }
 
-    /// That of a request to every shard.
+    /// Creates the record of a request to every shard.
     pub fn over_shards() -> Self {
         Self { is_over_shards: true, ..Self::default() }
     }
 
-    /// Whether the request may send a call; `patience` is how long the first one may take.
-    pub fn permission(&self, now: Moment, status: ContentStatus, patience: Duration) -> CallPermission {
-        let is_held = matches!(status, ContentStatus::Quarantined { .. } | ContentStatus::TrialDue);
-        match &self.first {
-            _ if is_held && !self.is_trial => CallPermission::Denied,
+    /// Whether the request may send a call. `timeout` is the longest time that the canary call may take.
+    pub fn permission(&self, now: Moment, status: ContentStatus, timeout: Duration) -> CallPermission {
+        let is_quarantined = matches!(status, ContentStatus::Quarantined { .. } | ContentStatus::TrialDue);
+        match &self.canary {
+            _ if is_quarantined && !self.is_trial => CallPermission::Denied,
             CanaryState::Passed => CallPermission::Allowed,
             CanaryState::Failed => CallPermission::Denied,
-            CanaryState::Sent { at, .. } if now.since(*at) < patience => CallPermission::Wait,
+            CanaryState::Sent { at, .. } if now.since(*at) < timeout => CallPermission::Wait,
             CanaryState::Sent { .. } => CallPermission::Denied,
             CanaryState::NotSent if self.awaits_verdict(now) => CallPermission::Wait,
-            // One more server would end, and with it the last one of its shard.
-            CanaryState::NotSent if status == ContentStatus::Suspect && self.is_likely() => CallPermission::Denied,
+            // One more call could crash the last server of its shard.
+            CanaryState::NotSent if status == ContentStatus::Suspect && self.is_probable_cause() => CallPermission::Denied,
             CanaryState::NotSent if self.is_trial || status == ContentStatus::Suspect => CallPermission::AsCanary,
             CanaryState::NotSent => CallPermission::Allowed,
         }
     }
 
-    /// Whether it has lost so many calls that it must first be known what became of the servers.
+    /// Whether the request has lost enough calls that it must wait until it is known whether the servers crashed.
     fn awaits_verdict(&self, now: Moment) -> bool {
-        let least = if self.is_over_shards { 1 } else { MIN_CRASHES };
-        let within = if self.lost > 1 && self.is_likely() { LONG_VERDICT_WITHIN } else { VERDICT_TIMEOUT };
-        self.lost >= least && now.since(self.lost_at) < within
+        let min_lost = if self.is_over_shards { 1 } else { MIN_CRASHES };
+        let timeout = if self.lost > 1 && self.is_probable_cause() { LONG_VERDICT_TIMEOUT } else { VERDICT_TIMEOUT };
+        self.lost >= min_lost && now.since(self.last_lost_at) < timeout
     }
 
-    /// Whether it is likely to be what ended the servers: it was sent before they did, and nobody has answered.
-    fn is_likely(&self) -> bool {
-        self.is_over_shards && self.was_free && !self.is_answered
+    /// Whether the request probably caused the crashes: it was sent before them, and no server has answered.
+    fn is_probable_cause(&self) -> bool {
+        self.is_over_shards && self.was_unrestricted && !self.is_answered
     }
 
-    /// Whether another request may yet turn out to be what ended the servers, so that this one may send calls again.
+    /// Whether another request may still prove to have caused the crashes, so that this one may send calls again.
     pub fn is_undecided(&self, status: ContentStatus) -> bool {
-        status == ContentStatus::Suspect && self.first == CanaryState::NotSent && self.is_likely()
+        status == ContentStatus::Suspect && self.canary == CanaryState::NotSent && self.is_probable_cause()
     }
 
-    /// What becomes of the calls under way of a request that was begun `age` ago, where calls take `usual`.
+    /// The decision about a request that started `age` ago, where calls usually take `usual`.
     pub fn verdict(&self, status: ContentStatus, age: Duration, usual: Duration) -> RequestVerdict {
-        if self.is_trial || !self.is_likely() {
+        if self.is_trial || !self.is_probable_cause() {
             return RequestVerdict::Continue;
         }
         match status {
@@ -153,67 +155,67 @@
         }
     }
 
-    /// Notes that a call is sent while nothing speaks against the request.
+    /// Records that a call is sent while the request is not restricted.
     pub fn note_unrestricted(&mut self) {
-        self.was_free = true;
+        self.was_unrestricted = true;
     }
 
-    /// Whether a second call may go round one that is overdue. Where all are, and nobody has answered, what it asks for
-    /// may be the cause, and second calls for all shards end the other server of each. If none has ended after a while, the
-    /// servers are silent for another reason.
+    /// Whether an overdue call may be hedged. If all calls are overdue and no server has answered, the content may be
+    /// the cause, and hedged calls for all shards would crash the other server of each shard. If no server has crashed
+    /// after a while, the servers are silent for another reason.
     pub fn may_hedge(&self, now: Moment) -> bool {
         let is_harmless =
-            self.lost == 0 && self.blind_since.is_some_and(|since| now.since(since) >= LONG_VERDICT_WITHIN);
-        !self.is_over_shards || self.is_answered || is_harmless || self.blind_hedges < MAX_BLIND_HEDGES
+            self.lost == 0 && self.first_hedge_at.is_some_and(|since| now.since(since) >= LONG_VERDICT_TIMEOUT);
+        !self.is_over_shards || self.is_answered || is_harmless || self.early_hedges < MAX_EARLY_HEDGES
     }
 
-    /// Notes that a second call is sent.
+    /// Records that a hedged call is sent.
     pub fn note_hedge(&mut self, now: Moment) {
-        self.blind_hedges += usize::from(!self.is_answered);
-        self.blind_since.get_or_insert(now);
+        self.early_hedges += usize::from(!self.is_answered);
+        self.first_hedge_at.get_or_insert(now);
     }
 
-    /// Notes that a server answered it.
+    /// Records that a server answered the request.
     pub fn note_answered(&mut self) {
         self.is_answered = true;
     }
 
-    /// Notes that a server lives on whose connection was lost.
+    /// Records that a server whose connection was lost is still up.
     pub fn note_alive(&mut self) {
         self.lost = self.lost.saturating_sub(1);
     }
 
-    /// Notes that a call's connection was lost.
+    /// Records that the connection of a call was lost.
     pub fn note_lost(&mut self, now: Moment) {
         self.lost += 1;
-        self.lost_at = now;
+        self.last_lost_at = now;
     }
 
-    /// Notes that the call that goes first is sent to a server.
+    /// Records that the canary call is sent to a server.
     pub fn note_sent(&mut self, now: Moment, server: ServerId) {
-        self.first = CanaryState::Sent { server, at: now };
+        self.canary = CanaryState::Sent { server, at: now };
     }
 
-    /// Whether the call that goes first is at a server.
+    /// Whether the canary call is open at the given server.
     pub fn is_at(&self, server: &ServerId) -> bool {
-        matches!(&self.first, CanaryState::Sent { server: sent, .. } if sent == server)
+        matches!(&self.canary, CanaryState::Sent { server: sent, .. } if sent == server)
     }
 
-    /// Notes how the call that goes first ended. That of a trial is not over with its answer: whether the
-    /// server lives on is told later.
-    pub fn note_outcome(&mut self, end: CanaryOutcome) {
-        self.first = match end {
+    /// Records the outcome of the canary call. An answer does not end a trial: [`Self::note_trial`] reports later
+    /// whether the server survived.
+    pub fn note_outcome(&mut self, outcome: CanaryOutcome) {
+        self.canary = match outcome {
             CanaryOutcome::Answered if self.is_trial => return,
             CanaryOutcome::Answered => CanaryState::Passed,
-            // A trial reaches one server and no more, whatever that does.
+            // A trial reaches at most one server, whatever the outcome.
             CanaryOutcome::NotRun if self.is_trial => CanaryState::Failed,
             CanaryOutcome::NotSent | CanaryOutcome::NotRun => CanaryState::NotSent,
             CanaryOutcome::Lost => CanaryState::Failed,
         };
     }
 
-    /// Notes whether the server that answered a trial lives on.
+    /// Records whether the server that answered a trial survived.
     pub fn note_trial(&mut self, has_survived: bool) {
-        self.first = if has_survived { CanaryState::Passed } else { CanaryState::Failed };
+        self.canary = if has_survived { CanaryState::Passed } else { CanaryState::Failed };
     }
 }
--- a/crates/policy/src/crash_tracker.rs
+++ b/crates/policy/src/crash_tracker.rs
@@ -1,11 +1,11 @@
-//! Which contents end the servers that run them, and how a request with such a content is treated.
+//! Tracks which request contents crash the servers that run them, and decides which contents are quarantined.
 //!
-//! The load pattern: a request ends the process of each server that begins to run it, and comes again, at any
-//! node. Beside it run requests that only lose their calls with the servers, and now and then servers end
-//! for reasons of their own. So crashes under a content make it suspect, and what is suspect is tried at one
-//! server before the others; it is held off everywhere only if it ended three servers and none that ran it
-//! lived on. Servers that ended under a content that is held off speak against no other one. Who is held off by
-//! mistake is tried again soon.
+//! The failure is a request that crashes the process of each server that starts to run it and is retried at any node.
+//! Other requests lose their calls when these servers crash, and servers also crash for unrelated reasons. Crashes
+//! during a content therefore make it suspect first, and a suspect request is tried at one server before the others
+//! (see `canary`). A content is quarantined at all nodes only if it has crashed three servers, and more servers than
+//! have survived it. Crashes during a quarantined content do not count against any other content. A content that was
+//! quarantined by mistake is soon tried again.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -14,326 +14,331 @@
 
 use crate::Moment;
 
-/// Servers that must have ended under a content before it is held off. One or two crashes at once come from
-/// a machine or rack; the platform counts from the third on.
+/// Server crashes that are necessary to quarantine a content. One or two simultaneous crashes can come from a machine
+/// or rack failure; the platform counts from the third on.
 pub const MIN_CRASHES: usize = 3;
-/// How long after a crash it is decided whether the content is held off: a server that answers in that
-/// time speaks for it. About the longest target latency; all nodes must know within 4 s.
+/// Time from a crash to the decision on its content. A server that answers within this time counts in favour of the
+/// content. It is about the longest target latency; all nodes must know of a quarantine within 4 s.
 pub const DECISION_DELAY: Duration = Duration::from_millis(300);
-/// A server that answered must live on so long to speak for a content: processes end some 100 ms after a call
-/// began.
+/// How long a server must stay up after its answer to count as a survivor: processes crash about 100 ms after the start
+/// of a call.
 pub const SURVIVAL_DELAY: Duration = Duration::from_millis(250);
-/// How long a content is held off before it is tried again: servers are back after some three seconds,
-/// and one that is held off by mistake, since it ran beside the one that did it, should be back with them.
-const FIRST_TRIAL_AFTER: Duration = Duration::from_secs(3);
-/// How much longer it is held off after each trial, so that there are few: the fourth comes after nearly an
+/// Time from the quarantine of a content to its first trial. Servers are back after about three seconds, and a content
+/// that was quarantined by mistake, because it ran beside the one that caused the crashes, should be available again
+/// with them.
+const FIRST_TRIAL_DELAY: Duration = Duration::from_secs(3);
+/// Factor by which the quarantine grows with each trial, so that trials are rare: the fourth comes after nearly an
 /// hour.
 const TRIAL_FACTOR: u32 = 10;
-const MAX_TRIAL_AFTER: Duration = Duration::from_secs(3_600);
-/// Crashes that came to nothing are forgotten after this.
-const FORGET_AFTER: Duration = Duration::from_secs(60);
-/// A content that is held off and was not sent for so long is given up: then it begins anew.
-const RELEASE_AFTER: Duration = Duration::from_secs(24 * 3_600);
-/// Contents that are remembered at most, by each node and in the store: what callers send must not fill them.
-const MAX_CASES: usize = 512;
-/// Servers that are named for a content at most.
-const MAX_NAMED: usize = 16;
-
-/// A content that a server worked on, and how many servers a request with it goes to.
+const MAX_TRIAL_DELAY: Duration = Duration::from_secs(3_600);
+/// Crashes that did not lead to a quarantine are removed after this time.
+const RECORD_EXPIRY: Duration = Duration::from_secs(60);
+/// A quarantined content that is not requested for this long is released and starts again without a record.
+const QUARANTINE_EXPIRY: Duration = Duration::from_secs(24 * 3_600);
+/// Maximum number of tracked contents, at each node and in the store, so that callers cannot exhaust the memory of
+/// either.
+const MAX_RECORDS: usize = 512;
+/// Maximum number of servers listed for a content.
+const MAX_SERVERS: usize = 16;
+
+/// A content that a server was running, and whether requests with it go to one service or to many.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CrashSuspect {
-    /// The content.
     pub content: ContentId,
-    /// Whether it goes to a single service, so that a node sees one or two of its crashes and no more.
+    /// Whether the request goes to a single service, so that one node sees only one or two of its crashes.
     pub is_single_service: bool,
 }
 
-/// How a request with a content is treated.
+/// How a request with a given content is treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ContentStatus {
-    /// As any other.
+    /// No restriction.
     Clear,
-    /// It goes to one server first, and to the others when that has answered.
+    /// Sent to one server as a canary, and to the others after that server has answered.
     Suspect,
-    /// It goes to no server until a moment.
+    /// Sent to no server until the given time.
     Quarantined {
-        /// When it may be tried again.
+        /// Time of the next trial.
         until: Moment,
     },
-    /// It may be tried at one server, by one request of all nodes.
+    /// May be tried at one server, by a single request among all nodes.
     TrialDue,
 }
 
-/// What this node has seen, or has been told by nodes it asked.
+/// The crashes and survivals of one content that this node has seen or that nodes it called have reported.
 #[derive(Debug, Default)]
-struct CrashCase {
+struct CrashRecord {
     crashed: BTreeSet<ServerRun>,
-    /// Servers that answered and were found to live on.
+    /// Servers that answered and stayed up.
     survived: BTreeSet<ServerRun>,
-    /// Servers that answered, of which that is not known yet.
+    /// Servers that answered, whose survival is not yet known.
     answered: BTreeSet<ServerRun>,
-    /// When the last crash was noted.
-    last: Moment,
-    /// When a request with it was last answered whole.
-    served_at: Option<Moment>,
-    /// Whether a decision is under way.
-    is_settling: bool,
-    /// Since when this node holds it off.
-    held_since: Option<Moment>,
+    /// Time of the last recorded crash.
+    last_crash: Moment,
+    /// Time of the last complete answer to a request with this content.
+    last_answer: Option<Moment>,
+    /// Whether a decision is pending.
+    is_decision_pending: bool,
+    /// Start of the quarantine at this node, or of the last trial.
+    quarantined_since: Option<Moment>,
     trials: u32,
 }
 
-impl CrashCase {
-    /// Whether requests were answered whole and the servers lived on.
-    fn is_over(&self, now: Moment) -> bool {
-        let survived = |at: &Moment| *at >= self.last && now.since(*at) >= SURVIVAL_DELAY;
-        self.held_since.is_none() && self.served_at.as_ref().is_some_and(survived)
+impl CrashRecord {
+    /// Whether a request was answered completely after the last crash and the servers survived it.
+    fn is_cleared(&self, now: Moment) -> bool {
+        let survived = |at: &Moment| *at >= self.last_crash && now.since(*at) >= SURVIVAL_DELAY;
+        self.quarantined_since.is_none() && self.last_answer.as_ref().is_some_and(survived)
     }
 }
 
-/// What the store holds of a content, as this node knows it.
+/// The entry of a content in the store, as known to this node.
 #[derive(Debug)]
-struct SharedCase {
+struct SharedRecord {
     entry: CrashEntry,
-    /// When this node learnt of it, or of its last trial.
+    /// Time at which this node received the entry, or its last trial.
     since: Moment,
 }
 
-/// What one node knows of contents that end servers.
+/// One node's record of contents that crash servers.
 #[derive(Debug, Default)]
 pub struct CrashTracker {
-    cases: HashMap<ContentId, CrashCase>,
-    shared: HashMap<ContentId, SharedCase>,
+    records: HashMap<ContentId, CrashRecord>,
+    shared: HashMap<ContentId, SharedRecord>,
 }
 
-/// How long a content is held off after some trials.
-fn trial_wait(trials: u32) -> Duration {
+/// The quarantine time of a content after `trials` trials.
+fn trial_delay(trials: u32) -> Duration {
     let factor = TRIAL_FACTOR.saturating_pow(trials);
-    FIRST_TRIAL_AFTER.saturating_mul(factor).min(MAX_TRIAL_AFTER)
+    FIRST_TRIAL_DELAY.saturating_mul(factor).min(MAX_TRIAL_DELAY)
 }
 
 impl CrashTracker {
-    /// Contents of which anything is known.
+    /// Number of records, local and shared.
     pub fn len(&self) -> usize {
-        self.cases.len() + self.shared.len()
+        self.records.len() + self.shared.len()
     }
 
-    /// Whether nothing is known of any content.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// How a request with a content is treated now.
+    /// How a request with this content is to be treated now.
     pub fn status(&self, now: Moment, content: ContentId) -> ContentStatus {
-        let case = self.cases.get(&content).filter(|case| !case.is_over(now));
+        let record = self.records.get(&content).filter(|record| !record.is_cleared(now));
         let shared = self.shared.get(&content);
-        let held = match (shared, case.and_then(|case| Some((case.held_since?, case.trials)))) {
+        let quarantined = match (shared, record.and_then(|record| Some((record.quarantined_since?, record.trials)))) {
             (Some(shared), _) if shared.entry.crashed.len() >= MIN_CRASHES => {
                 Some((shared.since, shared.entry.trials))
             }
             (_, local) => local,
         };
-        if let Some((since, trials)) = held {
-            let until = since.plus(trial_wait(trials));
+        if let Some((since, trials)) = quarantined {
+            let until = since.plus(trial_delay(trials));
             return if until <= now { ContentStatus::TrialDue } else { ContentStatus::Quarantined { until } };
         }
-        let Some(case) = case else { return ContentStatus::Clear };
-        let crashes = self.unexplained(content).len();
-        let is_suspect = crashes >= MIN_CRASHES && crashes > case.survived.len();
+        let Some(record) = record else { return ContentStatus::Clear };
+        let crashes = self.unexplained_crashes(content).len();
+        let is_suspect = crashes >= MIN_CRASHES && crashes > record.survived.len();
         if is_suspect { ContentStatus::Suspect } else { ContentStatus::Clear }
     }
 
-    /// Servers that ended under a content and under no other one that is held off.
-    fn unexplained(&self, content: ContentId) -> BTreeSet<ServerRun> {
+    /// Servers that crashed during this content and during no other quarantined content.
+    fn unexplained_crashes(&self, content: ContentId) -> BTreeSet<ServerRun> {
         let mut crashed = self.crashed(content);
-        let held_cases = self.cases.iter().filter(|(_, case)| case.held_since.is_some());
-        let held_cases = held_cases.map(|(held, case)| (*held, case.crashed.iter().collect::<Vec<_>>()));
-        let is_held = |shared: &&SharedCase| shared.entry.crashed.len() >= MIN_CRASHES;
-        let held_shared = self.shared.values().filter(is_held);
-        let held_shared = held_shared.map(|shared| (shared.entry.content, shared.entry.crashed.iter().collect()));
-        for (_, explained) in held_cases.chain(held_shared).filter(|(held, _)| *held != content) {
-            explained.into_iter().for_each(|server| {
+        let local_quarantined = self.records.iter().filter(|(_, record)| record.quarantined_since.is_some());
+        let local_quarantined = local_quarantined.map(|(quarantined, record)| (*quarantined, record.crashed.iter().collect::<Vec<_>>()));
+        let is_quarantined = |shared: &&SharedRecord| shared.entry.crashed.len() >= MIN_CRASHES;
+        let shared_quarantined = self.shared.values().filter(is_quarantined);
+        let shared_quarantined = shared_quarantined.map(|shared| (shared.entry.content, shared.entry.crashed.iter().collect()));
+        for (_, crashed_servers) in local_quarantined.chain(shared_quarantined).filter(|(quarantined, _)| *quarantined != content) {
+            crashed_servers.into_iter().for_each(|server| {
                 crashed.remove(server);
             });
         }
         crashed
     }
 
-    /// Holds a content off at once, since it was found to be what ended its servers: what is to be told to all nodes,
-    /// unless it is held off already.
+    /// Quarantines a content immediately because it was found to have crashed its servers. Returns the entry to
+    /// broadcast to all nodes, or `None` if the content is already quarantined.
     pub fn quarantine(&mut self, now: Moment, content: ContentId) -> Option<CrashEntry> {
-        let crashed: Vec<ServerRun> = self.crashed(content).into_iter().take(MAX_NAMED).collect();
-        let case = self.cases.get_mut(&content).filter(|case| case.held_since.is_none())?;
-        case.held_since = Some(now);
+        let crashed: Vec<ServerRun> = self.crashed(content).into_iter().take(MAX_SERVERS).collect();
+        let record = self.records.get_mut(&content).filter(|record| record.quarantined_since.is_none())?;
+        record.quarantined_since = Some(now);
         Some(CrashEntry { content, crashed, trials: 0 })
     }
 
-    /// Takes that another node holds a content off, or tries it again; whether that is news.
+    /// Applies the report that another node has quarantined a content or tries it again. Returns whether it changed the
+    /// record.
     pub fn put_quarantined(&mut self, now: Moment, entry: &CrashEntry) -> bool {
         if entry.crashed.len() < MIN_CRASHES || self.shared.contains_key(&entry.content) {
             return false;
         }
-        entry.crashed.iter().take(MAX_NAMED).for_each(|server| {
+        entry.crashed.iter().take(MAX_SERVERS).for_each(|server| {
             self.add_crash(now, entry.content, server);
         });
-        let Some(case) = self.cases.get_mut(&entry.content) else { return false };
-        let is_news = case.held_since.is_none() || entry.trials > case.trials;
-        if is_news {
-            case.held_since = Some(now);
-            case.trials = entry.trials;
+        let Some(record) = self.records.get_mut(&entry.content) else { return false };
+        let is_new = record.quarantined_since.is_none() || entry.trials > record.trials;
+        if is_new {
+            record.quarantined_since = Some(now);
+            record.trials = entry.trials;
         }
-        is_news
+        is_new
     }
 
-    /// Servers that ended under a content, as far as is known, the first few.
+    /// The first few of the servers that are known to have crashed during a content.
     pub fn crashed(&self, content: ContentId) -> BTreeSet<ServerRun> {
-        let case = self.cases.get(&content).into_iter().flat_map(|case| &case.crashed);
+        let record = self.records.get(&content).into_iter().flat_map(|record| &record.crashed);
         let shared = self.shared.get(&content).into_iter().flat_map(|shared| &shared.entry.crashed);
-        case.chain(shared).take(MAX_NAMED * 2).cloned().collect()
+        record.chain(shared).take(MAX_SERVERS * 2).cloned().collect()
     }
 
-    /// Notes that a server ended while it worked on a content or just after; whether a decision is to be
-    /// made in a while.
+    /// Records that a server crashed while it ran a content or just after. Returns whether the caller has to schedule a
+    /// decision.
     pub fn note_crash(&mut self, now: Moment, content: ContentId, server: &ServerRun) -> bool {
-        let case = self.add_crash(now, content, server);
-        case.is_some_and(|case| !std::mem::replace(&mut case.is_settling, true))
+        let record = self.add_crash(now, content, server);
+        record.is_some_and(|record| !std::mem::replace(&mut record.is_decision_pending, true))
     }
 
-    /// Adds a crash to what is known of a content, unless the server is known to have lived on or there is no room.
-    fn add_crash(&mut self, now: Moment, content: ContentId, server: &ServerRun) -> Option<&mut CrashCase> {
+    /// Adds a crash to the record of a content, unless the server is known to have survived it or the limit of records
+    /// is reached.
+    fn add_crash(&mut self, now: Moment, content: ContentId, server: &ServerRun) -> Option<&mut CrashRecord> {
         self.prune(now);
-        if !self.cases.contains_key(&content) && self.cases.len() >= MAX_CASES {
+        if !self.records.contains_key(&content) && self.records.len() >= MAX_RECORDS {
             return None;
         }
-        let case = self.cases.entry(content).or_default();
-        if case.is_over(now) {
-            *case = CrashCase::default();
+        let record = self.records.entry(content).or_default();
+        if record.is_cleared(now) {
+            *record = CrashRecord::default();
         }
-        if case.survived.contains(server) {
+        if record.survived.contains(server) {
             return None;
         }
-        if case.crashed.len() < MAX_NAMED {
-            case.crashed.insert(server.clone());
+        if record.crashed.len() < MAX_SERVERS {
+            record.crashed.insert(server.clone());
         }
-        case.last = now;
-        Some(case)
+        record.last_crash = now;
+        Some(record)
     }
 
-    /// Notes servers that ended under a content as another node has told; whether a decision is to be made.
+    /// Records servers that crashed during a content according to another node. Returns whether the caller has to
+    /// schedule a decision.
     pub fn note_reported(&mut self, now: Moment, content: ContentId, servers: &[ServerRun]) -> bool {
         let known = self.crashed(content);
-        let news: Vec<&ServerRun> = servers.iter().take(MAX_NAMED).filter(|server| !known.contains(*server)).collect();
-        let mut is_due = false;
-        for server in news {
-            is_due |= self.note_crash(now, content, server);
+        let unknown: Vec<&ServerRun> = servers.iter().take(MAX_SERVERS).filter(|server| !known.contains(*server)).collect();
+        let mut needs_decision = false;
+        for server in unknown {
+            needs_decision |= self.note_crash(now, content, server);
         }
-        is_due
+        needs_decision
     }
 
-    /// Notes that a server answered a request with a content; whether it is to be found out if it lives on.
+    /// Records that a server answered a request with a content. Returns whether the caller has to check the survival of
+    /// the server.
     pub fn note_answer(&mut self, content: ContentId, server: &ServerRun) -> bool {
-        let case = self.cases.get_mut(&content).filter(|case| case.answered.len() < MAX_NAMED * 2);
-        case.is_some_and(|case| case.answered.insert(server.clone()))
+        let record = self.records.get_mut(&content).filter(|record| record.answered.len() < MAX_SERVERS * 2);
+        record.is_some_and(|record| record.answered.insert(server.clone()))
     }
 
-    /// Notes that a server lived on after it had answered a request with a content.
+    /// Records that a server stayed up after it had answered a request with a content.
     pub fn note_survived(&mut self, content: ContentId, server: &ServerRun) {
-        if let Some(case) = self.cases.get_mut(&content) {
-            case.survived.insert(server.clone());
+        if let Some(record) = self.records.get_mut(&content) {
+            record.survived.insert(server.clone());
         }
     }
 
-    /// Notes that a request with a content was answered whole.
+    /// Records a complete answer to a request with a content.
     pub fn note_served(&mut self, now: Moment, content: ContentId) {
-        if let Some(case) = self.cases.get_mut(&content) {
-            case.served_at = Some(now);
+        if let Some(record) = self.records.get_mut(&content) {
+            record.last_answer = Some(now);
         }
     }
 
-    /// Decides what becomes of a content some while after a crash: what is to be told to all nodes, if
-    /// anything.
+    /// Decides, [`DECISION_DELAY`] after a crash, whether a content is quarantined. Returns the entry to broadcast to
+    /// all nodes, if any.
     pub fn decide(&mut self, now: Moment, suspect: CrashSuspect) -> Option<CrashEntry> {
-        let crashed = self.unexplained(suspect.content);
-        let has_room = self.shared.len() < MAX_CASES || self.shared.contains_key(&suspect.content);
-        let case = self.cases.get_mut(&suspect.content)?;
-        case.is_settling = false;
-        let is_served = case.served_at.is_some_and(|at| at >= case.last);
-        if is_served || crashed.len() <= case.survived.len() {
+        let crashed = self.unexplained_crashes(suspect.content);
+        let has_capacity = self.shared.len() < MAX_RECORDS || self.shared.contains_key(&suspect.content);
+        let record = self.records.get_mut(&suspect.content)?;
+        record.is_decision_pending = false;
+        let is_answered = record.last_answer.is_some_and(|at| at >= record.last_crash);
+        if is_answered || crashed.len() <= record.survived.len() {
             return None;
         }
         if crashed.len() >= MIN_CRASHES {
-            case.held_since.get_or_insert(now);
+            record.quarantined_since.get_or_insert(now);
         }
-        let least = if suspect.is_single_service { 1 } else { MIN_CRASHES };
+        let min_crashes = if suspect.is_single_service { 1 } else { MIN_CRASHES };
         let is_known = self.shared.get(&suspect.content).is_some_and(|shared| {
             shared.entry.crashed.len() >= MIN_CRASHES || shared.entry.crashed.len() >= crashed.len()
         });
-        let crashed: Vec<ServerRun> = crashed.into_iter().take(MAX_NAMED).collect();
+        let crashed: Vec<ServerRun> = crashed.into_iter().take(MAX_SERVERS).collect();
         let entry = CrashEntry { content: suspect.content, crashed, trials: 0 };
-        (has_room && !is_known && entry.crashed.len() >= least).then_some(entry)
+        (has_capacity && !is_known && entry.crashed.len() >= min_crashes).then_some(entry)
     }
 
-    /// Takes what the store holds of a content; whether it is held off by that from now on.
+    /// Applies the entry of a content in the store. Returns whether the content is quarantined by it from now on.
     pub fn put_shared(&mut self, now: Moment, entry: CrashEntry) -> bool {
         let before = self.shared.get(&entry.content);
-        if before.is_none() && self.shared.len() >= MAX_CASES {
+        if before.is_none() && self.shared.len() >= MAX_RECORDS {
             return false;
         }
-        let was_held = before.is_some_and(|before| before.entry.crashed.len() >= MIN_CRASHES);
-        let is_held = entry.crashed.len() >= MIN_CRASHES;
-        let is_same = was_held && before.is_some_and(|before| before.entry.trials == entry.trials);
+        let was_quarantined = before.is_some_and(|before| before.entry.crashed.len() >= MIN_CRASHES);
+        let is_quarantined = entry.crashed.len() >= MIN_CRASHES;
+        let is_same = was_quarantined && before.is_some_and(|before| before.entry.trials == entry.trials);
         let since = before.filter(|_| is_same).map_or(now, |before| before.since);
-        self.shared.insert(entry.content, SharedCase { entry, since });
-        is_held && !was_held
+        self.shared.insert(entry.content, SharedRecord { entry, since });
+        is_quarantined && !was_quarantined
     }
 
-    /// Takes that the store holds nothing of a content any more: it was found to do no harm, or was given
-    /// up. Whether it was known.
+    /// Applies the removal of a content from the store, because it proved harmless or was released. Returns whether the
+    /// entry was known.
     pub fn remove_shared(&mut self, content: ContentId) -> bool {
-        self.cases.remove(&content);
+        self.records.remove(&content);
         self.shared.remove(&content).is_some()
     }
 
-    /// The contents that the store is known to hold.
+    /// The contents that are known to be in the store.
     pub fn shared_contents(&self) -> Vec<ContentId> {
         self.shared.keys().copied().collect()
     }
 
-    /// What the store is known to hold.
+    /// All known entries of the store.
     pub fn shared_entries(&self) -> Vec<CrashEntry> {
         self.shared.values().map(|shared| shared.entry.clone()).collect()
     }
 
-    /// What the store is known to hold of one content.
+    /// The known entry of one content in the store.
     pub fn shared_entry(&self, content: ContentId) -> Option<&CrashEntry> {
         self.shared.get(&content).map(|shared| &shared.entry)
     }
 
-    /// Notes that this node tries a content of which the store knows nothing; what is to be told to other nodes.
+    /// Records that this node tries a content that is not in the store. Returns the entry to send to other nodes.
     pub fn note_local_trial(&mut self, now: Moment, content: ContentId) -> Option<CrashEntry> {
-        let crashed = self.crashed(content).into_iter().take(MAX_NAMED).collect();
-        let case = self.cases.get_mut(&content)?;
-        case.trials += 1;
-        case.held_since = Some(now);
-        Some(CrashEntry { content, crashed, trials: case.trials })
+        let crashed = self.crashed(content).into_iter().take(MAX_SERVERS).collect();
+        let record = self.records.get_mut(&content)?;
+        record.trials += 1;
+        record.quarantined_since = Some(now);
+        Some(CrashEntry { content, crashed, trials: record.trials })
     }
 
-    /// Contents held off by all nodes.
+    /// Number of contents quarantined at all nodes.
     pub fn count_quarantined(&self) -> usize {
         self.shared.values().filter(|shared| shared.entry.crashed.len() >= MIN_CRASHES).count()
     }
 
-    /// Contents of which the store need hold nothing any more.
+    /// Contents whose entries in the store have expired.
     pub fn find_expired(&self, now: Moment) -> Vec<ContentId> {
-        let is_expired = |shared: &&SharedCase| {
-            let is_held = shared.entry.crashed.len() >= MIN_CRASHES;
-            now.since(shared.since) >= if is_held { RELEASE_AFTER } else { FORGET_AFTER }
+        let is_expired = |shared: &&SharedRecord| {
+            let is_quarantined = shared.entry.crashed.len() >= MIN_CRASHES;
+            now.since(shared.since) >= if is_quarantined { QUARANTINE_EXPIRY } else { RECORD_EXPIRY }
         };
         self.shared.values().filter(is_expired).map(|shared| shared.entry.content).collect()
     }
 
-    /// Forgets crashes that came to nothing.
+    /// Removes expired local records.
     fn prune(&mut self, now: Moment) {
-        self.cases.retain(|_, case| case.is_settling || now.since(case.last) < FORGET_AFTER);
+        self.records.retain(|_, record| record.is_decision_pending || now.since(record.last_crash) < RECORD_EXPIRY);
     }
 }
--- a/crates/policy/src/mechanism.rs
+++ b/crates/policy/src/mechanism.rs
@@ -1,59 +1,58 @@
-//! Mechanisms of decision that a node may be told to do without, so that what each is worth can be
-//! measured.
+//! Decision mechanisms that can be switched off at a node, so that the effect of each can be measured.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// A mechanism of decision in routing mode.
+/// A decision mechanism of the routing mode.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Second calls to near servers round one that is overdue.
+    /// Hedged requests to near servers when a call is overdue.
     NearHedges,
-    /// Second calls to far servers.
+    /// Hedged requests to far servers.
     FarHedges,
-    /// Shards without a server near are handed in batches to nodes near their servers.
+    /// Delegates shards without a near server, in batches, to nodes near their servers.
     FarDelegation,
-    /// Shards with a server near are handed to stronger nodes of the failure domain.
+    /// Delegates shards with a near server to stronger nodes of the failure domain.
     NearDelegation,
-    /// Servers that fell silent are gone round.
+    /// Avoids servers that have stopped responding.
     SilenceRouting,
-    /// Servers are judged by their open calls too.
+    /// Takes the open calls of a server into account.
     OpenCalls,
-    /// The load that servers tell counts.
+    /// Takes the load that servers report into account.
     ReportedLoad,
-    /// Servers that refused or failed calls are asked less.
+    /// Sends fewer calls to servers that have refused or failed calls.
     RefusalPenalty,
-    /// Servers that refused or failed a call rest.
+    /// Backs off from servers that refused or failed a call.
     FailureBackoff,
-    /// Servers that have just started count as slow.
+    /// Treats servers that have just started as slow.
     WarmUp,
-    /// Servers that did not take a request are tried again after a pause.
+    /// Retries servers that did not accept a request after a delay.
     RetryPauses,
-    /// One node of a failure domain follows the store for the others.
+    /// One node of a failure domain reads the store for the others.
     DomainReaders,
-    /// Servers whose entry is gone may be tried where no other answers.
+    /// Tries servers whose entry was removed if no other server answers.
     DoubtfulServers,
-    /// Requests of a split go to its services by turns.
+    /// Selects the services of a traffic split in a fixed sequence instead of at random.
     SplitTurns,
-    /// Failure domains from which nothing is heard are gone round as a whole.
+    /// Avoids unreachable failure domains as a whole.
     UnreachableDomains,
-    /// What servers tell of their pace counts.
+    /// Takes the pace that servers report into account.
     ReportedPace,
-    /// The time that a caller's new connection took counts as a part of its first request.
+    /// Counts the setup time of a caller's new connection as part of its first request.
     HandshakeTime,
-    /// Calls for full servers wait at the node, the most urgent first.
+    /// Queues calls for full servers at the node, the most urgent first.
     CallQueues,
-    /// Among calls of one priority, teams take turns by their rates.
+    /// Shares the capacity for calls of one priority among teams in proportion to their rates.
     TeamTurns,
-    /// Requests that cannot be answered in time, or must give way to more urgent ones, are refused on arrival.
+    /// Admission control: refuses requests on arrival that cannot finish in time or must yield to more urgent ones.
     EntryGate,
-    /// Callers that are refused together are told different times to come back.
+    /// Gives callers that are refused together different retry times.
     RetryReservations,
-    /// How fast a server works is learnt from its answers.
+    /// Measures the pace of a server from its answers.
     MeasuredPace,
 }
 
-/// Every mechanism with its name in settings, by the order of the type.
+/// The name of each mechanism in the settings, in the order of the enum variants.
 const NAMES: [(Mechanism, &str); 22] = [
     (Mechanism::NearHedges, "near_hedges"),
     (Mechanism::FarHedges, "far_hedges"),
@@ -85,7 +84,7 @@
     }
 }
 
-/// A name that is no mechanism's.
+/// The error for an unknown mechanism name.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("there is no mechanism {0:?}; there are {known}", known = list_names())]
 pub struct UnknownMechanism(pub String);
@@ -98,24 +97,24 @@
     type Err = UnknownMechanism;
 
     fn from_str(text: &str) -> Result<Self, UnknownMechanism> {
-        let named = NAMES.iter().find(|(_, name)| *name == text);
-        named.map(|(mechanism, _)| *mechanism).ok_or_else(|| UnknownMechanism(text.to_owned()))
+        let entry = NAMES.iter().find(|(_, name)| *name == text);
+        entry.map(|(mechanism, _)| *mechanism).ok_or_else(|| UnknownMechanism(text.to_owned()))
     }
 }
 
-/// Mechanisms in use; at first all of them.
+/// The set of active mechanisms; all of them by default.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MechanismSet {
     without: u32,
 }
 
 impl MechanismSet {
-    /// All mechanisms but some.
+    /// All mechanisms except the given ones.
     pub fn without(mechanisms: &[Mechanism]) -> Self {
         Self { without: mechanisms.iter().fold(0, |bits, mechanism| bits | 1 << *mechanism as u32) }
     }
 
-    /// Whether a mechanism is in use.
+    /// Whether a mechanism is active.
     pub fn has(self, mechanism: Mechanism) -> bool {
         self.without & (1 << mechanism as u32) == 0
     }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -2,7 +2,7 @@
 //! batches for them.
 //!
 //! The load pattern is a fleet of hundreds of nodes, a few of them several times as powerful as the others, with
-//! requests to hundreds of shards. A weak node local takes seconds per request: it has neither connections
+//! requests to hundreds of shards. A weak node alone takes seconds per request: it has neither connections
 //! to the servers nor statistics about them, and its processor needs as long as an answer may take. The strong
 //! nodes of a failure domain see the whole traffic of the servers there.
 
--- a/crates/policy/src/reader_choice.rs
+++ b/crates/policy/src/reader_choice.rs
@@ -27,8 +27,9 @@
 /// failure domain read the store, and if the first ones do not come up, the next ones in rank do it.
 const STARTUP_WAIT_STEP: Duration = Duration::from_millis(125);
 const MAX_STARTUP_WAIT: Duration = Duration::from_millis(1_200);
-/// Maximum wait for a reader that reports that it is starting. A listing grows with the number of servers, and if
-/// each of hundreds of nodes fetches it from the store after the same second, none has it for ten seconds.
+/// Maximum wait for a reader that reports that it is starting. A listing grows with the number of servers. If hundreds
+/// of nodes all stopped waiting after the same second and fetched it from the store, none would have it for ten
+/// seconds.
 const MAX_STARTING_READER_WAIT: Duration = Duration::from_secs(8);
 /// Maximum number of weak nodes that follow one strong node; beyond it, weak nodes forward updates as well. The link
 /// of a strong node can serve this many followers at once, while the link of a weak node takes seconds for a few.
--- a/crates/policy/src/retry_after.rs
+++ b/crates/policy/src/retry_after.rs
@@ -1,90 +1,90 @@
-//! When a caller that is turned away may come back.
+//! Retry delay for refused callers (`retry-after`).
 //!
-//! The load pattern: all nodes, or all servers of some shards, were lost at the same moment, and
-//! every caller is turned away within it. Too soon it meets the same, too late it has waited for
-//! nothing; and all at once they would be the next burst.
+//! The load pattern is the simultaneous loss of all nodes, or of all servers of some shards, in which every caller is
+//! refused within the same moment. A caller that retries too early is refused again, one that retries too late waits
+//! for nothing, and callers that retry at the same time cause the next burst.
 
 use std::time::Duration;
 
-/// From a node's start until it has routes and servers, where most nodes start together.
-const START_TIME: Duration = Duration::from_millis(300);
-/// Until the balancer's next choice may be another node, or a link or server is there again.
-const SHORTEST: Duration = Duration::from_millis(100);
-/// While the store is away nobody knows how long it takes.
-const WITHOUT_STORE: Duration = Duration::from_millis(500);
-/// Servers that refused or could not be reached: some of their queue is done, and a node that came
-/// up meanwhile has its links.
-const AFTER_SERVERS: Duration = Duration::from_millis(300);
-/// From a trial of what ended servers until its outcome is known everywhere.
-const AFTER_TRIAL: Duration = Duration::from_secs(1);
-/// Callers come back between so much earlier and later, by dice.
-const EARLIEST_SHARE: f64 = 0.8;
-const LATEST_SHARE: f64 = 1.5;
-/// Callers with a place of their own come back so much later at most, by dice: the next place may be some
-/// milliseconds away.
-const PLACE_SPREAD: Duration = Duration::from_millis(1);
-/// Callers heed a time to come back up to this share of the time that they have left.
-const HEEDED_SHARE: f64 = 1.0 / 3.0;
-/// How long a refusal takes to reach its caller, who can wait so much less.
-const REFUSAL_WAY: Duration = Duration::from_millis(5);
+/// Time from the start of a node until it has routes and servers, when most nodes start together.
+const STARTUP_TIME: Duration = Duration::from_millis(300);
+/// Shortest delay: after it the balancer may choose another node, or a link or server may have recovered.
+const MIN_DELAY: Duration = Duration::from_millis(100);
+/// Delay while the store is unavailable, since the length of the outage is unknown.
+const STORE_OUTAGE_DELAY: Duration = Duration::from_millis(500);
+/// Delay after servers refused or were unreachable: by then they have worked off part of their queue, and a node that
+/// has just come up has its links.
+const NO_SERVER_DELAY: Duration = Duration::from_millis(300);
+/// Time from the trial of a content that crashed servers until all nodes know the outcome.
+const TRIAL_OUTCOME_DELAY: Duration = Duration::from_secs(1);
+/// Range of the random jitter, as factors of the delay.
+const MIN_JITTER: f64 = 0.8;
+const MAX_JITTER: f64 = 1.5;
+/// Maximum random jitter for callers with a reservation. The next reservation may be only a few milliseconds later.
+const RESERVATION_JITTER: Duration = Duration::from_millis(1);
+/// Callers honour a retry delay up to this fraction of their remaining time.
+const HONOURED_FRACTION: f64 = 1.0 / 3.0;
+/// Time that a refusal takes to reach its caller, which shortens the usable wait.
+const REFUSAL_LATENCY: Duration = Duration::from_millis(5);
 
-/// Why a caller is turned away though its request is proper.
+/// The reason for refusing a valid request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// The node knows no routes yet, or may lack the newest ones.
+    /// The node has no routes yet, or may lack the newest ones.
     RoutesUnknown {
-        /// How long the node has run.
+        /// Time since the start of the node.
         uptime: Duration,
     },
-    /// No server took the request, or too few shards have any.
+    /// No server accepted the request, or too few shards have a server.
     NoServer,
-    /// Its team is over its limit.
+    /// The team is over its rate limit.
     OverLimit {
-        /// Until there is credit for one request more.
+        /// Time until there is credit for one more request.
         wait: Duration,
     },
-    /// Its team is over its limit, and callers return one after the other.
+    /// The team is over its rate limit, and the caller has a reservation for its retry.
     Reserved {
-        /// Until the time of its place.
+        /// Time until the reservation.
         wait: Duration,
     },
-    /// Its team is over its limit, and the next place is further away than it can use.
+    /// The team is over its rate limit, and the next free reservation is too late for the caller.
     NoReservation {
-        /// Until the time of that place.
+        /// Time until that reservation.
         wait: Duration,
     },
-    /// It cannot be answered within its time, or more urgent requests need the room.
+    /// The request cannot finish in time, or more urgent requests need the capacity.
     Overload {
-        /// Until that may be otherwise.
+        /// Time until this may have changed.
         wait: Duration,
     },
-    /// What it asks for ends servers, so no server gets it.
+    /// The content crashes servers, so it is quarantined.
     Quarantined {
-        /// Until it may be tried again.
+        /// Time until the next trial.
         left: Duration,
     },
 }
 
-/// When the caller may come back; `dice` is 0 to 1.
-pub fn choose_retry_after(reason: RefusalReason, dice: f64) -> Duration {
-    let dice = dice.clamp(0.0, 1.0);
+/// The delay after which the caller may retry. `random` is a uniform random number from 0 to 1.
+pub fn choose_retry_after(reason: RefusalReason, random: f64) -> Duration {
+    let random = random.clamp(0.0, 1.0);
     let wait = match reason {
-        RefusalReason::RoutesUnknown { uptime } if uptime < START_TIME => (START_TIME - uptime).max(SHORTEST),
-        RefusalReason::RoutesUnknown { .. } => WITHOUT_STORE,
-        RefusalReason::NoServer => AFTER_SERVERS,
-        RefusalReason::OverLimit { wait } => wait.max(SHORTEST),
-        RefusalReason::Reserved { wait } => return wait + PLACE_SPREAD.mul_f64(dice),
-        RefusalReason::NoReservation { wait } => return wait.max(SHORTEST).mul_f64(1.0 + (LATEST_SHARE - 1.0) * dice),
-        // Before that time it would be turned away again, whatever the dice say.
-        RefusalReason::Overload { wait } => wait.max(SHORTEST).div_f64(EARLIEST_SHARE),
-        // Another request may be the one that is tried, and its outcome is known a second later.
-        RefusalReason::Quarantined { left } => left.max(AFTER_TRIAL),
+        RefusalReason::RoutesUnknown { uptime } if uptime < STARTUP_TIME => (STARTUP_TIME - uptime).max(MIN_DELAY),
+        RefusalReason::RoutesUnknown { .. } => STORE_OUTAGE_DELAY,
+        RefusalReason::NoServer => NO_SERVER_DELAY,
+        RefusalReason::OverLimit { wait } => wait.max(MIN_DELAY),
+        RefusalReason::Reserved { wait } => return wait + RESERVATION_JITTER.mul_f64(random),
+        RefusalReason::NoReservation { wait } => return wait.max(MIN_DELAY).mul_f64(1.0 + (MAX_JITTER - 1.0) * random),
+        // Never earlier than `wait`, since the caller would be refused again.
+        RefusalReason::Overload { wait } => wait.max(MIN_DELAY).div_f64(MIN_JITTER),
+        // The trial may be another request, and its outcome is known a second later.
+        RefusalReason::Quarantined { left } => left.max(TRIAL_OUTCOME_DELAY),
     };
-    wait.mul_f64(EARLIEST_SHARE + (LATEST_SHARE - EARLIEST_SHARE) * dice)
+    wait.mul_f64(MIN_JITTER + (MAX_JITTER - MIN_JITTER) * random)
 }
 
-/// The longest wait until its place that is of use to a caller that has so much time left, and so much until its target.
-/// A place beyond the target would cost a newcomer, which could be served at once, an answer in time.
+/// The longest wait for a reservation that a caller can use, given the time left until its deadline and until its
+/// target latency. A reservation after the target would take an in-time answer from a new caller that could be served
+/// at once.
 pub fn usable_wait(left: Duration, target_left: Duration) -> Duration {
-    left.mul_f64(HEEDED_SHARE).min(target_left).saturating_sub(PLACE_SPREAD + REFUSAL_WAY)
+    left.mul_f64(HONOURED_FRACTION).min(target_left).saturating_sub(RESERVATION_JITTER + REFUSAL_LATENCY)
 }
--- a/crates/policy/src/watch_timeout.rs
+++ b/crates/policy/src/watch_timeout.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Longest timeout of a watch, which is the maximum that the store allows.
-pub const LONGEST_WAIT: Duration = Duration::from_secs(30);
+pub const MAX_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The state from which the timeout of a new watch is chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -22,12 +22,12 @@
 }
 
 /// The timeout of a watch that relies on another one, which is renewed every `silence_within`.
-pub fn choose_wait(progress: &WatchProgress) -> Duration {
-    if is_overdue(progress, progress.silence_within) { progress.silence_within } else { LONGEST_WAIT }
+pub fn choose_timeout(progress: &WatchProgress) -> Duration {
+    if is_overdue(progress, progress.silence_within) { progress.silence_within } else { MAX_TIMEOUT }
 }
 
-/// Whether a watch of the given age must be renewed: the store has a newer revision than the watch has reported, and its
-/// connection may be dead.
+/// Whether a watch of the given age must be renewed: the store has a newer revision than the watch has reported, and
+/// its connection may be dead.
 pub fn is_overdue(progress: &WatchProgress, age: Duration) -> bool {
     progress.store_revision > progress.topic_revision && age >= progress.silence_within
 }
--- a/crates/policy/tests/mechanism.rs
+++ b/crates/policy/tests/mechanism.rs
@@ -1,4 +1,4 @@
-//! Mechanisms that a node may be told to do without.
+//! Decision mechanisms that can be switched off.
 
 use std::time::Duration;
 
@@ -6,9 +6,9 @@
 use streamfold_policy::{Mechanism, MechanismSet, Moment};
 
 const TYPICAL: Duration = Duration::from_millis(10);
-const SPELL: Duration = Duration::from_secs(1);
+const SLOW_PERIOD: Duration = Duration::from_secs(1);
 
-/// What a server costs that is warming up, has refused a call and told a load.
+/// The cost of a server that is warming up, has refused a call and has reported a load.
 fn cost_without(mechanisms: &[Mechanism]) -> f64 {
     let now = Moment(1_000_000);
     let warm_at = now.plus(Duration::from_secs(1));
@@ -18,20 +18,20 @@
     state.start(now);
     state.finish(now, now, CallSample::Full);
     state.learn_load(now, 2, 3);
-    state.cost(now, Distance::Domain, TYPICAL, SPELL)
+    state.cost(now, Distance::Domain, TYPICAL, SLOW_PERIOD)
 }
 
 #[test]
-fn each_belief_can_be_left_out_of_the_cost() {
+fn each_mechanism_can_be_left_out_of_the_cost() {
     use Mechanism::{FailureBackoff, RefusalPenalty, ReportedLoad, WarmUp};
-    let lines = [vec![], vec![FailureBackoff], vec![FailureBackoff, RefusalPenalty], vec![FailureBackoff, ReportedLoad]];
+    let first = [vec![], vec![FailureBackoff], vec![FailureBackoff, RefusalPenalty], vec![FailureBackoff, ReportedLoad]];
     let more = [vec![FailureBackoff, WarmUp], vec![FailureBackoff, WarmUp, ReportedLoad, RefusalPenalty]];
-    let told = lines.iter().chain(&more).map(|without| format!("{without:?}: {:.0}", cost_without(without)));
-    insta::assert_snapshot!(told.collect::<Vec<_>>().join("\n"));
+    let costs = first.iter().chain(&more).map(|without| format!("{without:?}: {:.0}", cost_without(without)));
+    insta::assert_snapshot!(costs.collect::<Vec<_>>().join("\n"));
 }
 
 #[test]
-fn names_are_read_back_and_others_refused_with_the_known_ones() {
+fn names_parse_and_unknown_names_are_refused_with_the_known_ones() {
     let error = "hedges".parse::<Mechanism>().expect_err("no mechanism of this name");
     insta::assert_snapshot!(error);
     let listed = error.to_string();
--- a/crates/policy/tests/reader_probe.rs
+++ b/crates/policy/tests/reader_probe.rs
@@ -16,8 +16,8 @@
     insta::assert_snapshot!(format!("{:?}", delays(&[false; 5])), @"[500ms, 1s, 2s, 3s, 3s]");
 }
 
-/// Guards against a node of a later rank that reads the store directly for three seconds, because it was answered first:
-/// after many probes during the outage, its next probe came as late as in normal operation.
+/// Guards against a node of a later rank that reads the store directly for three seconds, because it was answered
+/// first: after many probes during the outage, its next probe came as late as in normal operation.
 #[test]
 fn probes_restart_when_the_store_recovers() {
     let outage = [[true; 12].as_slice(), &[false; 3]].concat();
--- a/crates/policy/tests/shard_health.rs
+++ b/crates/policy/tests/shard_health.rs
@@ -1,4 +1,4 @@
-//! Services with few good servers, and what is said of them.
+//! Detection of services with few healthy servers, and the reported changes.
 
 use std::collections::BTreeSet;
 
@@ -10,22 +10,22 @@
     names.iter().map(|name| name.parse().expect("a name")).collect()
 }
 
-fn standing(servers: usize, good: usize) -> ServiceHealth {
+fn health(servers: usize, good: usize) -> ServiceHealth {
     ServiceHealth { servers, good }
 }
 
 #[test]
-fn a_service_is_short_while_the_others_are_no_good() {
+fn a_service_is_short_with_at_most_one_healthy_server_of_more() {
     let short: Vec<String> = (0..=4)
-        .flat_map(|servers| (0..=servers).map(move |good| standing(servers, good)))
-        .filter(|standing| standing.is_short())
-        .map(|standing| format!("{} of {}", standing.good, standing.servers))
+        .flat_map(|servers| (0..=servers).map(move |good| health(servers, good)))
+        .filter(|health| health.is_short())
+        .map(|health| format!("{} of {}", health.good, health.servers))
         .collect();
     insta::assert_snapshot!(short.join(", "), @"0 of 1, 0 of 2, 1 of 2, 0 of 3, 1 of 3, 0 of 4, 1 of 4");
 }
 
 #[test]
-fn what_changes_is_named_once_and_within_bounds() {
+fn changes_are_reported_once_with_a_limited_number_of_names() {
     let mut list = ShortageList::default();
     let many: BTreeSet<ServiceName> = (0..9).map(|number| format!("shard-{number}").parse().expect("a name")).collect();
     let change = list.replace(many.clone());
@@ -37,7 +37,7 @@
 }
 
 quickcheck! {
-    /// Whatever becomes short or recovers, the changes told lead from each list to the next.
+    /// The reported changes always account for the difference between consecutive lists.
     fn changes_add_up(steps: Vec<Vec<u8>>) -> bool {
         let mut list = ShortageList::default();
         steps.into_iter().all(|step| {
--- a/crates/policy/tests/store_backoff.rs
+++ b/crates/policy/tests/store_backoff.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_first_node_has_the_shortest_backoff() {
+fn the_first_node_backs_off_like_a_single_node() {
     let pauses: Vec<Duration> = (0..6).map(|failures| backoff_delay(failures, 0)).collect();
     insta::assert_snapshot!(format!("{pauses:?}"), @"[100ms, 200ms, 400ms, 800ms, 800ms, 800ms]");
 }
--- a/crates/policy/tests/watch_timeout.rs
+++ b/crates/policy/tests/watch_timeout.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use streamfold_policy::watch_timeout::{LONGEST_WAIT, WatchProgress, choose_wait, is_overdue};
+use streamfold_policy::watch_timeout::{MAX_TIMEOUT, WatchProgress, choose_timeout, is_overdue};
 
 const SILENCE: Duration = Duration::from_secs(6);
 
@@ -11,18 +11,18 @@
 }
 
 /// Number of watches that a topic starts within `seconds`, while other topics change at the seconds `changed_at`. Each
-/// response to a short watch confirms that the topic is topic_revision up to the latest revision.
+/// response to a short watch confirms that the topic is known up to the latest revision.
 fn count_watches(changed_at: &[u64], seconds: u64) -> usize {
     let store_revision = |now: u64| changed_at.iter().filter(|at| **at <= now).count() as u64;
-    let (mut topic_revision, mut started, mut timeout, mut count) = (0, 0, LONGEST_WAIT, 1);
+    let (mut topic_revision, mut started, mut timeout, mut count) = (0, 0, MAX_TIMEOUT, 1);
     for now in 1..=seconds {
         let age = Duration::from_secs(now - started);
         let is_answered = age >= timeout;
         if is_answered {
             topic_revision = store_revision(now);
         }
-        if is_answered || (timeout == LONGEST_WAIT && is_overdue(&progress(topic_revision, store_revision(now)), age)) {
-            (started, timeout) = (now, choose_wait(&progress(topic_revision, store_revision(now))));
+        if is_answered || (timeout == MAX_TIMEOUT && is_overdue(&progress(topic_revision, store_revision(now)), age)) {
+            (started, timeout) = (now, choose_timeout(&progress(topic_revision, store_revision(now))));
             count += 1;
         }
     }
@@ -43,6 +43,6 @@
     ) -> bool {
         let (progress, age) = (progress(topic_revision, store_revision), Duration::from_millis(u64::from(age_ms)));
         is_overdue(&progress, age) == (store_revision > topic_revision && age >= SILENCE)
-            && choose_wait(&progress) == if store_revision > topic_revision { SILENCE } else { LONGEST_WAIT }
+            && choose_timeout(&progress) == if store_revision > topic_revision { SILENCE } else { MAX_TIMEOUT }
     }
 }
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -183,8 +183,8 @@
     fn watch_wait(&self, position: FeedPosition) -> Duration {
         match self.topic {
             FeedTopic::Servers => self.router.settings.silence_within.0,
-            FeedTopic::Routes | FeedTopic::Evacuations => watch_timeout::choose_wait(&self.watch_ask(position)),
-            FeedTopic::Nodes | FeedTopic::Crashes => watch_timeout::LONGEST_WAIT,
+            FeedTopic::Routes | FeedTopic::Evacuations => watch_timeout::choose_timeout(&self.watch_ask(position)),
+            FeedTopic::Nodes | FeedTopic::Crashes => watch_timeout::MAX_TIMEOUT,
         }
     }
 
@@ -198,7 +198,7 @@
         let relies = matches!(self.topic, FeedTopic::Routes | FeedTopic::Evacuations);
         let ask = self.watch_ask(position);
         // A short one ends by itself.
-        if !relies || watch_timeout::choose_wait(&ask) <= ask.silence_within {
+        if !relies || watch_timeout::choose_timeout(&ask) <= ask.silence_within {
             return std::future::pending().await;
         }
         tokio::time::sleep(ask.silence_within).await;
