--- a/crates/policy/src/crash_tracker.rs
+++ b/crates/policy/src/crash_tracker.rs
@@ -44,6 +44,7 @@
 /// A content that a server was running, and whether requests with it go to one service or to many.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CrashSuspect {
+    /// Identifier of the content.
     pub content: ContentId,
     /// Whether the request goes to a single service, so that one node sees only one or two of its crashes.
     pub is_single_service: bool,
--- a/crates/policy/src/members.rs
+++ b/crates/policy/src/members.rs
@@ -30,16 +30,19 @@
 /// The gossiped description of one node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Encode, Decode)]
 pub struct MemberEntry {
+    /// Name of the node.
     pub node: NodeId,
     /// Identifies one run of the node.
     pub incarnation: Incarnation,
     /// Heartbeat counter.
     pub beat: u64,
+    /// Failure domain of the node.
     pub domain: FailureDomain,
     /// Address of the port for other nodes.
     pub peer_address: SocketAddr,
     /// Address of the port for operators.
     pub operator_address: SocketAddr,
+    /// State that the node reports about itself.
     pub state: MemberState,
     /// The configuration version in force at the node.
     pub config: ConfigVersion,
@@ -64,6 +67,7 @@
 /// The node that is responsible for a ticket.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TicketHolder {
+    /// Name of the node.
     pub node: NodeId,
     /// Whether the run that holds the tickets is still up, as far as this node knows.
     pub alive: bool,
--- a/crates/policy/src/reader_choice.rs
+++ b/crates/policy/src/reader_choice.rs
@@ -38,6 +38,7 @@
 /// A node that may act as a reader or follow one.
 #[derive(Debug, Clone, Copy)]
 pub struct ReaderCandidate<'a> {
+    /// Name of the node.
     pub name: &'a str,
     /// Its processor share, if it reports one.
     pub power: Option<CoreShare>,
