--- a/crates/policy/src/canary.rs
+++ b/crates/policy/src/canary.rs
@@ -120,7 +120,9 @@
             CanaryState::Sent { .. } => CallPermission::Denied,
             CanaryState::NotSent if self.awaits_verdict(now) => CallPermission::Wait,
             // One more call could crash the last server of its shard.
-            CanaryState::NotSent if status == ContentStatus::Suspect && self.is_probable_cause() => CallPermission::Denied,
+            CanaryState::NotSent if status == ContentStatus::Suspect && self.is_probable_cause() => {
+                CallPermission::Denied
+            }
             CanaryState::NotSent if self.is_trial || status == ContentStatus::Suspect => CallPermission::AsCanary,
             CanaryState::NotSent => CallPermission::Allowed,
         }
--- a/crates/policy/src/crash_tracker.rs
+++ b/crates/policy/src/crash_tracker.rs
@@ -130,9 +130,7 @@
         let record = self.records.get(&content).filter(|record| !record.is_cleared(now));
         let shared = self.shared.get(&content);
         let quarantined = match (shared, record.and_then(|record| Some((record.quarantined_since?, record.trials)))) {
-            (Some(shared), _) if shared.entry.crashed.len() >= MIN_CRASHES => {
-                Some((shared.since, shared.entry.trials))
-            }
+            (Some(shared), _) if shared.entry.crashed.len() >= MIN_CRASHES => Some((shared.since, shared.entry.trials)),
             (_, local) => local,
         };
         if let Some((since, trials)) = quarantined {
@@ -149,11 +147,15 @@
     fn unexplained_crashes(&self, content: ContentId) -> BTreeSet<ServerRun> {
         let mut crashed = self.crashed(content);
         let local_quarantined = self.records.iter().filter(|(_, record)| record.quarantined_since.is_some());
-        let local_quarantined = local_quarantined.map(|(quarantined, record)| (*quarantined, record.crashed.iter().collect::<Vec<_>>()));
+        let local_quarantined =
+            local_quarantined.map(|(quarantined, record)| (*quarantined, record.crashed.iter().collect::<Vec<_>>()));
         let is_quarantined = |shared: &&SharedRecord| shared.entry.crashed.len() >= MIN_CRASHES;
         let shared_quarantined = self.shared.values().filter(is_quarantined);
-        let shared_quarantined = shared_quarantined.map(|shared| (shared.entry.content, shared.entry.crashed.iter().collect()));
-        for (_, crashed_servers) in local_quarantined.chain(shared_quarantined).filter(|(quarantined, _)| *quarantined != content) {
+        let shared_quarantined =
+            shared_quarantined.map(|shared| (shared.entry.content, shared.entry.crashed.iter().collect()));
+        for (_, crashed_servers) in
+            local_quarantined.chain(shared_quarantined).filter(|(quarantined, _)| *quarantined != content)
+        {
             crashed_servers.into_iter().for_each(|server| {
                 crashed.remove(server);
             });
@@ -227,7 +229,8 @@
     /// schedule a decision.
     pub fn note_reported(&mut self, now: Moment, content: ContentId, servers: &[ServerRun]) -> bool {
         let known = self.crashed(content);
-        let unknown: Vec<&ServerRun> = servers.iter().take(MAX_SERVERS).filter(|server| !known.contains(*server)).collect();
+        let unknown: Vec<&ServerRun> =
+            servers.iter().take(MAX_SERVERS).filter(|server| !known.contains(*server)).collect();
         let mut needs_decision = false;
         for server in unknown {
             needs_decision |= self.note_crash(now, content, server);
--- a/crates/policy/src/domain_reach.rs
+++ b/crates/policy/src/domain_reach.rs
@@ -79,7 +79,10 @@
         if now.since(self.overdue_since) > COUNTING_WINDOW {
             self.overdue.clear();
         }
-        if now < self.unreachable_until || started <= self.last_contact || self.overdue.iter().any(|overdue| overdue == who) {
+        if now < self.unreachable_until
+            || started <= self.last_contact
+            || self.overdue.iter().any(|overdue| overdue == who)
+        {
             return false;
         }
         self.overdue_since = if self.overdue.is_empty() { started } else { self.overdue_since.min(started) };
--- a/crates/policy/src/reader_choice.rs
+++ b/crates/policy/src/reader_choice.rs
@@ -61,8 +61,12 @@
 /// first, and only the root reads the store. Weak nodes follow strong ones. A node only follows nodes that rank
 /// before it, so no two nodes follow each other, even if their membership views differ.
 pub fn choose_readers<'a>(own: &str, domain: &str, nodes: &[ReaderCandidate<'a>]) -> ReaderChoice<'a> {
-    let direct =
-        ReaderChoice { readers: Vec::new(), startup_wait: Duration::ZERO, starting_reader_wait: Duration::ZERO, rank: 0 };
+    let direct = ReaderChoice {
+        readers: Vec::new(),
+        startup_wait: Duration::ZERO,
+        starting_reader_wait: Duration::ZERO,
+        rank: 0,
+    };
     if nodes.len() < MIN_NODES_TO_SHARE {
         return direct;
     }
--- a/crates/policy/tests/absence.rs
+++ b/crates/policy/tests/absence.rs
@@ -33,11 +33,13 @@
 #[test]
 fn a_scan_that_reaches_nothing_is_discarded() {
     let mut tracker = AbsenceTracker::default();
-    let cut_off: Vec<usize> =
-        (0..=9).map(|scan| tracker.note_scan(at(scan * 30), &[("a", false), ("b", false)], false, LIMIT).len()).collect();
+    let cut_off: Vec<usize> = (0..=9)
+        .map(|scan| tracker.note_scan(at(scan * 30), &[("a", false), ("b", false)], false, LIMIT).len())
+        .collect();
     assert_eq!(cut_off, [0; 10]);
     // Other nodes are reachable, so both count as gone once the limit has passed from now.
-    let gone: Vec<usize> =
-        (10..=13).map(|scan| tracker.note_scan(at(scan * 30), &[("a", false), ("b", false)], true, LIMIT).len()).collect();
+    let gone: Vec<usize> = (10..=13)
+        .map(|scan| tracker.note_scan(at(scan * 30), &[("a", false), ("b", false)], true, LIMIT).len())
+        .collect();
     assert_eq!(gone, [0, 0, 2, 2]);
 }
--- a/crates/policy/tests/crash_tracker.rs
+++ b/crates/policy/tests/crash_tracker.rs
@@ -7,7 +7,7 @@
 use streamfold_policy::Moment;
 use streamfold_policy::canary::{CallPermission, CanaryOutcome, CanaryRecord, RequestVerdict, VERDICT_TIMEOUT};
 use streamfold_policy::crash_tracker::{
-    ContentStatus, CrashTracker, CrashSuspect, MIN_CRASHES, DECISION_DELAY, SURVIVAL_DELAY,
+    ContentStatus, CrashSuspect, CrashTracker, DECISION_DELAY, MIN_CRASHES, SURVIVAL_DELAY,
 };
 
 const CONTENT: ContentId = ContentId(7);
@@ -74,7 +74,11 @@
     }
     assert_eq!(tracker.status(at(300), CONTENT), ContentStatus::Clear);
     tracker.note_crash(at(400), CONTENT, &server(10));
-    assert_eq!(tracker.crashed(CONTENT).len(), MIN_CRASHES, "it survived the content, so it crashed for another reason");
+    assert_eq!(
+        tracker.crashed(CONTENT).len(),
+        MIN_CRASHES,
+        "it survived the content, so it crashed for another reason"
+    );
     tracker.note_crash(at(400), CONTENT, &server(20));
     assert_eq!(tracker.status(at(400), CONTENT), ContentStatus::Suspect);
 }
@@ -159,7 +163,11 @@
     let mut record = CanaryRecord::trial();
     record.note_sent(at(0), server_id(1));
     record.note_outcome(CanaryOutcome::NotSent);
-    assert_eq!(record.permission(at(1), ContentStatus::TrialDue, CANARY_TIMEOUT), CallPermission::AsCanary, "it reached no server");
+    assert_eq!(
+        record.permission(at(1), ContentStatus::TrialDue, CANARY_TIMEOUT),
+        CallPermission::AsCanary,
+        "it reached no server"
+    );
     record.note_sent(at(1), server_id(2));
     record.note_outcome(CanaryOutcome::NotRun);
     assert_eq!(record.permission(at(2), ContentStatus::TrialDue, CANARY_TIMEOUT), CallPermission::Denied);
@@ -185,10 +193,18 @@
     record.note_lost(at(0));
     assert_eq!(record.permission(at(1), ContentStatus::Clear, CANARY_TIMEOUT), CallPermission::Wait);
     record.note_alive();
-    assert_eq!(record.permission(at(1), ContentStatus::Clear, CANARY_TIMEOUT), CallPermission::Allowed, "the server survived");
+    assert_eq!(
+        record.permission(at(1), ContentStatus::Clear, CANARY_TIMEOUT),
+        CallPermission::Allowed,
+        "the server survived"
+    );
     record.note_lost(at(2));
     let verdict = at(2).plus(VERDICT_TIMEOUT);
-    assert_eq!(record.permission(verdict, ContentStatus::Clear, CANARY_TIMEOUT), CallPermission::Allowed, "only one server crashed");
+    assert_eq!(
+        record.permission(verdict, ContentStatus::Clear, CANARY_TIMEOUT),
+        CallPermission::Allowed,
+        "only one server crashed"
+    );
 }
 
 #[test]
@@ -200,9 +216,17 @@
     let verdict = at(0).plus(VERDICT_TIMEOUT);
     assert_eq!(record.permission(verdict, suspect, CANARY_TIMEOUT), CallPermission::Denied);
     record.note_answered();
-    assert_eq!(record.permission(verdict, suspect, CANARY_TIMEOUT), CallPermission::AsCanary, "a server has run and answered it");
+    assert_eq!(
+        record.permission(verdict, suspect, CANARY_TIMEOUT),
+        CallPermission::AsCanary,
+        "a server has run and answered it"
+    );
     let later = CanaryRecord::over_shards();
-    assert_eq!(later.permission(verdict, suspect, CANARY_TIMEOUT), CallPermission::AsCanary, "it started after the crashes");
+    assert_eq!(
+        later.permission(verdict, suspect, CANARY_TIMEOUT),
+        CallPermission::AsCanary,
+        "it started after the crashes"
+    );
 }
 
 /// Guards against hedged calls to the other server of each shard before it is known whether the first servers crashed.
@@ -213,7 +237,11 @@
     record.note_unrestricted();
     record.note_lost(at(0));
     record.note_lost(at(3));
-    assert_eq!(record.permission(at(3).plus(VERDICT_TIMEOUT), clear, CANARY_TIMEOUT), CallPermission::Wait, "no server has answered it");
+    assert_eq!(
+        record.permission(at(3).plus(VERDICT_TIMEOUT), clear, CANARY_TIMEOUT),
+        CallPermission::Wait,
+        "no server has answered it"
+    );
     assert_eq!(record.permission(at(93), clear, CANARY_TIMEOUT), CallPermission::Allowed);
     record.note_answered();
     assert_eq!(record.permission(at(3).plus(VERDICT_TIMEOUT), clear, CANARY_TIMEOUT), CallPermission::Allowed);
@@ -229,7 +257,11 @@
         may_hedge
     });
     assert_eq!(before, [true, true, false]);
-    assert_eq!([record.may_hedge(at(89)), record.may_hedge(at(90))], [false, true], "no server crashed, so they are only silent");
+    assert_eq!(
+        [record.may_hedge(at(89)), record.may_hedge(at(90))],
+        [false, true],
+        "no server crashed, so they are only silent"
+    );
     record.note_lost(at(91));
     assert!(!record.may_hedge(at(300)), "a server crashed");
     record.note_answered();
@@ -276,7 +308,10 @@
     let mut other = CrashTracker::default();
     assert!(other.put_quarantined(at(2), &quarantined) && !other.put_quarantined(at(3), &quarantined), "new only once");
     assert!(matches!(other.status(at(3), CONTENT), ContentStatus::Quarantined { .. }));
-    assert!(!other.put_quarantined(at(3), &CrashEntry { content: reported, ..entry(MIN_CRASHES - 1, 0) }), "too few crashes");
+    assert!(
+        !other.put_quarantined(at(3), &CrashEntry { content: reported, ..entry(MIN_CRASHES - 1, 0) }),
+        "too few crashes"
+    );
 }
 
 /// Guards against a trial by each node while the store is unavailable.
--- a/crates/policy/tests/domain_reach.rs
+++ b/crates/policy/tests/domain_reach.rs
@@ -41,7 +41,8 @@
         assert!(!reach.note_overdue(at(150), at(110), who, SilenceContext::NoneUnreachable));
     }
     // Two servers are overdue, then a response arrives, then two more are overdue.
-    let later = |reach: &mut DomainReach, who| reach.note_overdue(at(200), at(160), who, SilenceContext::NoneUnreachable);
+    let later =
+        |reach: &mut DomainReach, who| reach.note_overdue(at(200), at(160), who, SilenceContext::NoneUnreachable);
     assert!(!later(&mut reach, "a") && !later(&mut reach, "b"));
     reach.note_contact(at(170));
     assert!(
@@ -90,7 +91,16 @@
 #[test]
 fn overdue_calls_outside_the_time_window_do_not_count_together() {
     let mut reach = DomainReach::default();
-    let mut becomes_unreachable = |now: u64, who| reach.note_overdue(at(now + 100), at(now), who, SilenceContext::NoneUnreachable);
-    assert_eq!([becomes_unreachable(10, "a"), becomes_unreachable(20, "b"), becomes_unreachable(700, "c"), becomes_unreachable(710, "d")], [false; 4]);
+    let mut becomes_unreachable =
+        |now: u64, who| reach.note_overdue(at(now + 100), at(now), who, SilenceContext::NoneUnreachable);
+    assert_eq!(
+        [
+            becomes_unreachable(10, "a"),
+            becomes_unreachable(20, "b"),
+            becomes_unreachable(700, "c"),
+            becomes_unreachable(710, "d")
+        ],
+        [false; 4]
+    );
     assert!(becomes_unreachable(720, "e"), "three within half a second");
 }
--- a/crates/policy/tests/mechanism.rs
+++ b/crates/policy/tests/mechanism.rs
@@ -24,7 +24,8 @@
 #[test]
 fn each_mechanism_can_be_left_out_of_the_cost() {
     use Mechanism::{FailureBackoff, RefusalPenalty, ReportedLoad, WarmUp};
-    let first = [vec![], vec![FailureBackoff], vec![FailureBackoff, RefusalPenalty], vec![FailureBackoff, ReportedLoad]];
+    let first =
+        [vec![], vec![FailureBackoff], vec![FailureBackoff, RefusalPenalty], vec![FailureBackoff, ReportedLoad]];
     let more = [vec![FailureBackoff, WarmUp], vec![FailureBackoff, WarmUp, ReportedLoad, RefusalPenalty]];
     let costs = first.iter().chain(&more).map(|without| format!("{without:?}: {:.0}", cost_without(without)));
     insta::assert_snapshot!(costs.collect::<Vec<_>>().join("\n"));
--- a/crates/policy/tests/owner.rs
+++ b/crates/policy/tests/owner.rs
@@ -1,7 +1,7 @@
 //! Ownership of keys, and the division of a server's connection limit among nodes.
 
 use quickcheck::quickcheck;
-use streamfold_policy::owner::{NodeRole, NodeCounts, choose_owners, divide_connections, group_by_owner};
+use streamfold_policy::owner::{NodeCounts, NodeRole, choose_owners, divide_connections, group_by_owner};
 
 /// The total of the connections of all nodes, where `owners` counts a subset of `nodes`.
 fn total_connections(limit: u32, nodes: NodeCounts, owners: NodeCounts) -> usize {
--- a/crates/policy/tests/reader_choice.rs
+++ b/crates/policy/tests/reader_choice.rs
@@ -103,8 +103,11 @@
     let all = nodes(48);
     let names = names(&all);
     let power = |position: usize| if position < 3 { CoreShare(500) } else { CoreShare(120) };
-    let nodes: Vec<ReaderCandidate> =
-        names.iter().enumerate().map(|(position, name)| ReaderCandidate { name, power: Some(power(position)) }).collect();
+    let nodes: Vec<ReaderCandidate> = names
+        .iter()
+        .enumerate()
+        .map(|(position, name)| ReaderCandidate { name, power: Some(power(position)) })
+        .collect();
     let preferred = |own: &str| reader_choice::choose_readers(own, "zone-a", &nodes).readers.first().copied();
     let readers: std::collections::BTreeSet<&str> = names.iter().filter_map(|own| preferred(own)).collect();
     assert_eq!(readers, std::collections::BTreeSet::from(["node-0", "node-1", "node-2"]));
@@ -131,7 +134,8 @@
     // A failure domain of the largest deployment, and ones with up to twice as many nodes.
     for (strong, weak) in [(10, 180), (20, 360), (10, 320)] {
         let all = mixed(strong, weak);
-        let nodes: Vec<ReaderCandidate> = all.iter().map(|(name, power)| ReaderCandidate { name, power: Some(*power) }).collect();
+        let nodes: Vec<ReaderCandidate> =
+            all.iter().map(|(name, power)| ReaderCandidate { name, power: Some(*power) }).collect();
         let mut followers = std::collections::BTreeMap::new();
         let mut longest = 0;
         for (own, _) in &all {
@@ -155,7 +159,8 @@
 #[test]
 fn the_wait_for_a_starting_reader_grows_with_the_rank() {
     let all = mixed(10, 180);
-    let nodes: Vec<ReaderCandidate> = all.iter().map(|(name, power)| ReaderCandidate { name, power: Some(*power) }).collect();
+    let nodes: Vec<ReaderCandidate> =
+        all.iter().map(|(name, power)| ReaderCandidate { name, power: Some(*power) }).collect();
     let waits = all.iter().map(|(own, _)| reader_choice::choose_readers(own, "zone-a", &nodes).starting_reader_wait);
     let mut waits: Vec<Duration> = waits.collect();
     waits.sort_unstable();
--- a/crates/policy/tests/recent_work.rs
+++ b/crates/policy/tests/recent_work.rs
@@ -14,7 +14,8 @@
 #[test]
 fn calls_under_way_and_those_that_have_just_ended_count_each_once() {
     let mut work = RecentWork::default();
-    let [long, twice, old] = [1, 2, 3].map(|content| CrashSuspect { content: ContentId(content), is_single_service: true });
+    let [long, twice, old] =
+        [1, 2, 3].map(|content| CrashSuspect { content: ContentId(content), is_single_service: true });
     work.note_start(old);
     work.note_end(at(0), old, false);
     work.note_start(long);
--- a/crates/router/src/attempt_context.rs
+++ b/crates/router/src/attempt_context.rs
@@ -172,7 +172,9 @@
         let right = self.call_right();
         match right {
             CallPermission::Allowed | CallPermission::AsCanary => {}
-            CallPermission::Denied if !self.canary.is_undecided(self.standing()) => return Err(AttemptStop::Quarantined),
+            CallPermission::Denied if !self.canary.is_undecided(self.standing()) => {
+                return Err(AttemptStop::Quarantined);
+            }
             CallPermission::Wait | CallPermission::Denied => {
                 attempts.canary_at = Some(self.now().plus(CANARY_LOOK));
                 return Err(AttemptStop::Canary);
--- a/crates/router/src/cluster_view.rs
+++ b/crates/router/src/cluster_view.rs
@@ -8,7 +8,7 @@
 use streamfold_policy::budget_share::{BudgetNode, BudgetNodes, divide_allowance};
 use streamfold_policy::cold_limit::{ColdBound, deal_calls};
 use streamfold_policy::extra_budget::ExtraBudget;
-use streamfold_policy::owner::{NodeRole, NodeCounts, divide_connections};
+use streamfold_policy::owner::{NodeCounts, NodeRole, divide_connections};
 use streamfold_policy::replica::Distance;
 use streamfold_policy::server_scope::ServerBar;
 use streamfold_policy::shard_health::ServiceHealth;
--- a/crates/router/src/delegate.rs
+++ b/crates/router/src/delegate.rs
@@ -157,7 +157,8 @@
         let (Some(group), Some(power)) = (find_group(near_peers), self.router.settings.power()) else {
             return false;
         };
-        self.router.has(Mechanism::NearDelegation) && group.is_delegation_faster(shards, self.route.target_latency, power)
+        self.router.has(Mechanism::NearDelegation)
+            && group.is_delegation_faster(shards, self.route.target_latency, power)
     }
 
     /// The batches that the shards of a failure domain make of some of its nodes. A shard goes to the
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use streamfold_model::{FailureDomain, NodeId, Priority, RouteTarget, ServiceName, ShardFold};
-use streamfold_policy::retry_after::RefusalReason;
 use streamfold_policy::entry_gate::{EntryAsk, EntryGate, EntryRule, EntryStep};
+use streamfold_policy::retry_after::RefusalReason;
 use streamfold_policy::server_outlook::{ShardOutlook, expect_answers};
 use streamfold_policy::wait_book::{AgreedWait, WaitBook};
 use streamfold_policy::{Mechanism, Moment};
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -190,7 +190,11 @@
 
     fn watch_ask(&self, position: FeedPosition) -> WatchProgress {
         let told = self.router.told_position.borrow().0;
-        WatchProgress { topic_revision: position.0, store_revision: told, silence_within: self.router.settings.silence_within.0 }
+        WatchProgress {
+            topic_revision: position.0,
+            store_revision: told,
+            silence_within: self.router.settings.silence_within.0,
+        }
     }
 
     /// Waits until a watch that has just begun is to be begun anew, since its connection may have fallen silent.
@@ -203,8 +207,9 @@
         }
         tokio::time::sleep(ask.silence_within).await;
         let mut told = self.router.told_position.subscribe();
-        let is_overdue =
-            |told: &FeedPosition| watch_timeout::is_overdue(&WatchProgress { store_revision: told.0, ..ask }, ask.silence_within);
+        let is_overdue = |told: &FeedPosition| {
+            watch_timeout::is_overdue(&WatchProgress { store_revision: told.0, ..ask }, ask.silence_within)
+        };
         // The sender lives as long as the router.
         let _ = told.wait_for(is_overdue).await;
     }
--- a/crates/router/src/gather.rs
+++ b/crates/router/src/gather.rs
@@ -12,9 +12,9 @@
 use streamfold_policy::Moment;
 use streamfold_policy::answer_margin::answer_margin;
 use streamfold_policy::canary::RequestVerdict;
-use streamfold_policy::retry_after::RefusalReason;
 use streamfold_policy::fold_rule::{FoldRule, FoldStep};
 use streamfold_policy::late_alarm::AlarmWatch;
+use streamfold_policy::retry_after::RefusalReason;
 use tokio::time::Sleep;
 
 use crate::answer::{CallerAnswer, RefusalKind};
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -7,7 +7,7 @@
 
 use streamfold_model::{ContentId, CrashEntry, ServerRun};
 use streamfold_policy::Moment;
-use streamfold_policy::crash_tracker::{ContentStatus, CrashTracker, CrashSuspect, MIN_CRASHES, DECISION_DELAY};
+use streamfold_policy::crash_tracker::{ContentStatus, CrashSuspect, CrashTracker, DECISION_DELAY, MIN_CRASHES};
 use streamfold_store::StoreError;
 
 use crate::border::{EntryRevision, FeedTopic};
