--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of streamfold: replica choice, limits, queues, hedges, retries, pinning,
-//! admission and ownership.
+//! Decision logic of streamfold: replica selection, concurrency limits, queues, hedged requests, retries,
+//! version pinning, admission control and ownership.
 //!
-//! Nothing here does I/O or reads a clock; the moment and the dice are passed in. That
-//! makes every rule a function that tests can drive to any state.
+//! Nothing here does I/O or reads a clock. The current time and random numbers are parameters, so that tests can
+//! drive every rule to any state.
 
 pub mod absence;
 pub mod admission;
@@ -13,13 +13,11 @@
 pub mod call_order;
 pub mod canary;
 pub mod cold_limit;
-pub mod come_back;
-pub mod crash_book;
+pub mod crash_tracker;
 mod domain_credit;
 pub mod domain_reach;
 pub mod entry_gate;
 pub mod extra_budget;
-pub mod feed_rule;
 pub mod finish;
 pub mod fold_rule;
 pub mod hedge;
@@ -34,12 +32,14 @@
 pub mod placement;
 pub mod priority_level;
 pub mod queue;
-pub mod reader_look;
+pub mod reader_choice;
+pub mod reader_probe;
 pub mod recent_work;
 pub mod replica;
 pub mod request_start;
 pub mod reservation_table;
 pub mod retry;
+pub mod retry_after;
 pub mod rules;
 pub mod server;
 pub mod server_bound;
@@ -48,12 +48,12 @@
 pub mod server_exclusion;
 pub mod shard_health;
 pub mod split_rule;
-pub mod store_pause;
+pub mod store_backoff;
 pub mod team_scheduler;
 pub mod usage_credit;
 pub mod wait_queue;
 pub mod wait_tracker;
-pub mod watch_rule;
+pub mod watch_timeout;
 pub mod pace_estimate;
 
 pub use admission::{Admission, AdmissionControl, AdmissionRefusal, AdmissionRequest, TokenBucket, WorkReport};
