--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use streamfold_model::{ProblemDetails, RanState};
+use streamfold_model::{ExecutionState, ProblemDetails};
 
 /// Failed; nothing ran or changed.
 pub const EXIT_FAILED: u8 = 1;
@@ -91,7 +91,7 @@
 fn exit_code_of(problem: &ProblemDetails) -> u8 {
     match (problem.kind.as_str(), problem.ran) {
         ("conflict", _) => EXIT_CONFLICT,
-        (_, RanState::Unknown) => EXIT_UNKNOWN,
+        (_, ExecutionState::Unknown) => EXIT_UNKNOWN,
         _ if problem.status < 500 => EXIT_BAD_INPUT,
         _ => EXIT_FAILED,
     }
--- a/crates/daemon/src/caller_error.rs
+++ b/crates/daemon/src/caller_error.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use axum::http::StatusCode;
-use streamfold_model::{IndexName, RanState, ShardId};
+use streamfold_model::{ExecutionState, IndexName, ShardId};
 
 use crate::error::HeaderError;
 use crate::wire::OrderFailure;
@@ -100,11 +100,11 @@
     }
 
     /// Whether the request ran.
-    pub fn ran(&self) -> RanState {
+    pub fn ran(&self) -> ExecutionState {
         match self {
-            Self::NodeFault => RanState::Unknown,
+            Self::NodeFault => ExecutionState::Unknown,
             Self::Order(failure, _) => failure.ran(),
-            _ => RanState::NotRun,
+            _ => ExecutionState::NotRun,
         }
     }
 
--- a/crates/daemon/src/caller_input.rs
+++ b/crates/daemon/src/caller_input.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use streamfold_model::answer::{HEADER_DEADLINE, HEADER_KEY, HEADER_PREFER, HEADER_REPEATABLE};
-use streamfold_model::server::read_shards;
+use streamfold_model::server::parse_shards;
 use streamfold_model::{CallerPreference, CallerSpec, IndexName, IndexSpec, ShardId};
 use streamfold_policy::{FinishRule, Moment};
 
@@ -96,7 +96,7 @@
 pub fn read_wanted(parameters: Option<&str>) -> Result<Option<Vec<ShardId>>, CallerError> {
     let Some(text) = find_parameter(parameters, "shards") else { return Ok(None) };
     let bad = || CallerError::BadShards(text.chars().take(MAX_KEY_LEN).collect());
-    let mut shards = read_shards(text, MAX_NAMED_SHARDS).ok_or_else(bad)?;
+    let mut shards = parse_shards(text, MAX_NAMED_SHARDS).ok_or_else(bad)?;
     shards.sort_unstable();
     shards.dedup();
     Ok(Some(shards))
--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -10,7 +10,7 @@
 use axum::routing::post;
 use serde::{Deserialize, Serialize};
 use streamfold_model::{
-    CallerSpec, Configuration, ContentDigest, IndexVersion, ProblemDetails, RanState, RequestId, ShardId,
+    CallerSpec, Configuration, ContentDigest, ExecutionState, IndexVersion, ProblemDetails, RequestId, ShardId,
 };
 use streamfold_policy::Moment;
 use streamfold_router::task;
@@ -51,7 +51,7 @@
 #[derive(Debug, Serialize)]
 struct OrderAnswer<'a> {
     request: RequestId,
-    ran: RanState,
+    ran: ExecutionState,
     shard: ShardId,
     index_version: IndexVersion,
     result: &'a serde_json::value::RawValue,
@@ -175,7 +175,7 @@
     };
     let raw: Result<&serde_json::value::RawValue, _> = serde_json::from_slice(&result);
     let raw = raw.map_err(|_| CallerError::Order(OrderFailure::OutcomeUnknown, None))?;
-    let answer = OrderAnswer { request: id, ran: RanState::Ran, shard, index_version, result: raw };
+    let answer = OrderAnswer { request: id, ran: ExecutionState::Ran, shard, index_version, result: raw };
     let text = serde_json::to_vec(&answer).map_err(|_| CallerError::Order(OrderFailure::OutcomeUnknown, None))?;
     Ok(Told { caller: visit.caller.name.to_string(), result: "ran", coverage: "1/1".to_owned(), text })
 }
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -10,7 +10,7 @@
 use axum::routing::get;
 use streamfold_model::check::check_files;
 use streamfold_model::operator::{ApplyAnswer, ApplyRequest, MemberStatus, NodeStatus, ServerStatus};
-use streamfold_model::{ConfigBundle, ConfigVersion, HeadRecord, ProblemDetails, RanState};
+use streamfold_model::{ConfigBundle, ConfigVersion, ExecutionState, HeadRecord, ProblemDetails};
 use streamfold_store::{CommitError, CommitRequest};
 use tokio::net::TcpListener;
 
@@ -109,7 +109,7 @@
     told.collect()
 }
 
-fn problem(kind: &str, status: StatusCode, detail: String, ran: RanState, problems: Vec<String>) -> Response {
+fn problem(kind: &str, status: StatusCode, detail: String, ran: ExecutionState, problems: Vec<String>) -> Response {
     let details = ProblemDetails {
         kind: kind.to_owned(),
         status: status.as_u16(),
@@ -127,14 +127,26 @@
     let request: ApplyRequest = match serde_json::from_slice(&body) {
         Ok(request) => request,
         Err(error) => {
-            return problem("bad-request", StatusCode::BAD_REQUEST, error.to_string(), RanState::NotRun, Vec::new());
+            return problem(
+                "bad-request",
+                StatusCode::BAD_REQUEST,
+                error.to_string(),
+                ExecutionState::NotRun,
+                Vec::new(),
+            );
         }
     };
     let next = node.keeper.version().next();
     if let Err(errors) = check_files(next, &request.files) {
         let detail = format!("the configuration has {} problem(s); nothing was applied", errors.len());
         let problems = errors.iter().map(ToString::to_string).collect();
-        return problem("bad-configuration", StatusCode::UNPROCESSABLE_ENTITY, detail, RanState::NotRun, problems);
+        return problem(
+            "bad-configuration",
+            StatusCode::UNPROCESSABLE_ENTITY,
+            detail,
+            ExecutionState::NotRun,
+            problems,
+        );
     }
     if request.dry_run {
         return Json(ApplyAnswer { version: node.keeper.version(), committed: false }).into_response();
@@ -170,10 +182,10 @@
 
 fn commit_problem(error: &CommitError) -> Response {
     let (kind, status, ran) = match error {
-        CommitError::Conflict(_) => ("conflict", StatusCode::CONFLICT, RanState::NotRun),
-        CommitError::NotApplied(_) => ("store-unavailable", StatusCode::SERVICE_UNAVAILABLE, RanState::NotRun),
-        CommitError::Unknown => ("outcome-unknown", StatusCode::GATEWAY_TIMEOUT, RanState::Unknown),
-        CommitError::BadHead => ("bad-head", StatusCode::INTERNAL_SERVER_ERROR, RanState::NotRun),
+        CommitError::Conflict(_) => ("conflict", StatusCode::CONFLICT, ExecutionState::NotRun),
+        CommitError::NotApplied(_) => ("store-unavailable", StatusCode::SERVICE_UNAVAILABLE, ExecutionState::NotRun),
+        CommitError::Unknown => ("outcome-unknown", StatusCode::GATEWAY_TIMEOUT, ExecutionState::Unknown),
+        CommitError::BadHead => ("bad-head", StatusCode::INTERNAL_SERVER_ERROR, ExecutionState::NotRun),
     };
     problem(kind, status, error.to_string(), ran, Vec::new())
 }
@@ -192,14 +204,14 @@
     }
     let Some(wanted) = wanted else {
         let detail = "there is no configuration yet".to_owned();
-        return problem("no-configuration", StatusCode::NOT_FOUND, detail, RanState::NotRun, Vec::new());
+        return problem("no-configuration", StatusCode::NOT_FOUND, detail, ExecutionState::NotRun, Vec::new());
     };
     let read = async { node.store.read_bundle(node.store.read_audit(wanted).await?).await };
     match read.await {
         Ok(bundle) => Json(bundle).into_response(),
         Err(error) => {
             let detail = format!("reading version {wanted}: {error}");
-            problem("version-not-found", StatusCode::NOT_FOUND, detail, RanState::NotRun, Vec::new())
+            problem("version-not-found", StatusCode::NOT_FOUND, detail, ExecutionState::NotRun, Vec::new())
         }
     }
 }
@@ -212,7 +224,13 @@
         Ok(head) => head.map_or(ConfigVersion(0), |(head, _)| head.version),
         Err(error) => {
             let detail = format!("reading the audit trail: {error}");
-            return problem("store-unavailable", StatusCode::SERVICE_UNAVAILABLE, detail, RanState::NotRun, Vec::new());
+            return problem(
+                "store-unavailable",
+                StatusCode::SERVICE_UNAVAILABLE,
+                detail,
+                ExecutionState::NotRun,
+                Vec::new(),
+            );
         }
     };
     let mut version = newest;
@@ -222,7 +240,7 @@
             Err(error) => {
                 let detail = format!("reading audit record {version}: {error}");
                 let status = StatusCode::SERVICE_UNAVAILABLE;
-                return problem("store-unavailable", status, detail, RanState::NotRun, Vec::new());
+                return problem("store-unavailable", status, detail, ExecutionState::NotRun, Vec::new());
             }
         }
         version = ConfigVersion(version.0 - 1);
--- a/crates/daemon/src/order.rs
+++ b/crates/daemon/src/order.rs
@@ -250,7 +250,7 @@
         let (reply, ()) = tokio::join!(replies.recv(), run);
         return reply.unwrap_or(unknown);
     };
-    match tokio::time::timeout(left, link.call_first::<_, PieceReply>(PATH_BATCH, &batch)).await {
+    match tokio::time::timeout(left, link.call_without_timeout::<_, PieceReply>(PATH_BATCH, &batch)).await {
         Ok(Ok(reply)) => reply,
         Ok(Err(error)) if error.is_not_sent() => lost(AttemptOutcome::NotSent, MissingReason::NoOwner),
         Ok(Err(error)) => {
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    fn note_malformed(&self, _path: &str) {
+    fn record_malformed(&self, _path: &str) {
         stats::count_bad_peer();
     }
 }
--- a/crates/daemon/src/piece.rs
+++ b/crates/daemon/src/piece.rs
@@ -93,7 +93,7 @@
     /// Adds the outcome of one more attempt.
     pub(crate) fn note(&self, outcome: AttemptOutcome) {
         let mut progress = self.lock();
-        progress.outcome = progress.outcome.with(outcome);
+        progress.outcome = progress.outcome.combine(outcome);
     }
 }
 
--- a/crates/daemon/src/pool.rs
+++ b/crates/daemon/src/pool.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http::uri::PathAndQuery;
 use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode};
-use streamfold_model::server::write_shards;
+use streamfold_model::server::format_shards;
 use streamfold_model::{AttemptId, AttemptOutcome, IndexName, MissingReason, ShardId, UpstreamSpec};
 use streamfold_policy::{
     AttemptRules, CallReport, HeldVersions, Moment, QueueSubmission, ServerState, UpstreamQueue, WaitPlace, WorkItem,
@@ -196,7 +196,7 @@
         let attempt = AttemptId(rand::random());
         let now = self.clock.now();
         let left = context.deadline.since(now);
-        let request = self.build_request(server, attempt, context, &write_shards(shards), left);
+        let request = self.build_request(server, attempt, context, &format_shards(shards), left);
         let fail = |reason, outcome| CallFailure { server, failure: PieceFailure { reason, outcome } };
         let response = match self.links[server].call(request, context.answer_limit).await {
             Ok(response) => response,
--- a/crates/daemon/src/round.rs
+++ b/crates/daemon/src/round.rs
@@ -168,7 +168,7 @@
         let asked = self.view.owner(piece.upstream(), turn, piece.owner);
         let link = asked.and_then(|target| target.link.as_ref());
         // An owner that replies to others is busy, not silent: more load would not help it.
-        let is_silent = link.is_some_and(|link| link.is_silent_since(piece.sent));
+        let is_silent = link.is_some_and(|link| link.has_no_reply_since(piece.sent));
         let is_silent = is_silent && piece.open > 0 && !piece.is_answered;
         is_silent && piece.owner + 1 < owners.len() && self.node.spend_owner_hedge()
     }
@@ -325,7 +325,7 @@
                         }
                         let now = node.clock.now();
                         node.note_owner_reply(now.since(sent));
-                        link.note_heard(now);
+                        link.record_reply(now);
                         // The round ends only together with this task.
                         let _ = events.send(PieceEvent::Reply(reply)).await;
                     }
--- a/crates/daemon/src/wire.rs
+++ b/crates/daemon/src/wire.rs
@@ -4,8 +4,8 @@
 
 use bincode::{Decode, Encode};
 use streamfold_model::{
-    AttemptOutcome, CallerName, ConfigBundle, Incarnation, IndexName, IndexVersion, MissingReason, NodeId, RanState,
-    RequestId, ShardId, UpstreamName,
+    AttemptOutcome, CallerName, ConfigBundle, ExecutionState, Incarnation, IndexName, IndexVersion, MissingReason,
+    NodeId, RequestId, ShardId, UpstreamName,
 };
 use streamfold_policy::{HandoverRecord, HeldVersions, MemberEntry};
 
@@ -157,10 +157,12 @@
 
 impl OrderFailure {
     /// What may be said of the order.
-    pub fn ran(self) -> RanState {
+    pub fn ran(self) -> ExecutionState {
         match self {
-            Self::Missing(_) | Self::BadTicket | Self::Stopping | Self::ClaimFailed | Self::Full => RanState::NotRun,
-            Self::OutcomeUnknown | Self::AlreadyTaken | Self::Expired | Self::MinterGone => RanState::Unknown,
+            Self::Missing(_) | Self::BadTicket | Self::Stopping | Self::ClaimFailed | Self::Full => {
+                ExecutionState::NotRun
+            }
+            Self::OutcomeUnknown | Self::AlreadyTaken | Self::Expired | Self::MinterGone => ExecutionState::Unknown,
         }
     }
 }
--- a/crates/lab/src/experiments/cost.rs
+++ b/crates/lab/src/experiments/cost.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 use http::Method;
 use serde_json::{Value, json};
-use streamfold_model::server::{SERVER_ATTEMPT, SERVER_REQUEST, SERVER_SHARDS};
+use streamfold_model::server::{SERVER_HEADER_ATTEMPT, SERVER_HEADER_REQUEST, SERVER_HEADER_SHARDS};
 use streamfold_model::{AttemptId, RequestId};
 
 use super::ExperimentReport;
@@ -160,7 +160,11 @@
     let address = server.address;
     let request = RequestId(rand::random()).to_string();
     let attempt = AttemptId(rand::random()).to_string();
-    let headers = [(SERVER_REQUEST, request.as_str()), (SERVER_ATTEMPT, attempt.as_str()), (SERVER_SHARDS, "0")];
+    let headers = [
+        (SERVER_HEADER_REQUEST, request.as_str()),
+        (SERVER_HEADER_ATTEMPT, attempt.as_str()),
+        (SERVER_HEADER_SHARDS, "0"),
+    ];
     let path = format!("/v1/shards/{INDEX}/query");
     let mut latencies = Histogram::<u64>::new(3).map_err(|_| FleetError::NotReady)?;
     let start = Instant::now();
--- a/crates/lab/src/experiments/once.rs
+++ b/crates/lab/src/experiments/once.rs
@@ -114,9 +114,9 @@
 }
 
 async fn send_plain(fleet: &Fleet, servers: &[SocketAddr], key: &str) -> bool {
-    use streamfold_model::server::{SERVER_ATTEMPT, SERVER_KEY, SERVER_SHARDS};
+    use streamfold_model::server::{SERVER_HEADER_ATTEMPT, SERVER_HEADER_KEY, SERVER_HEADER_SHARDS};
     let server = servers[dice::range(0.0..servers.len() as f64) as usize];
-    let headers = [(SERVER_ATTEMPT, "0"), (SERVER_SHARDS, "0"), (SERVER_KEY, key)];
+    let headers = [(SERVER_HEADER_ATTEMPT, "0"), (SERVER_HEADER_SHARDS, "0"), (SERVER_HEADER_KEY, key)];
     let path = format!("/v1/shards/{}/order", crate::fleet::INDEX);
     let wait = Duration::from_secs(1);
     let body = bytes::Bytes::from_static(b"{}");
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -9,7 +9,7 @@
 use hdrhistogram::Histogram;
 use http::{Method, StatusCode};
 use serde::Serialize;
-use streamfold_model::{ProblemDetails, QueryAnswer, RanState, RequestId};
+use streamfold_model::{ExecutionState, ProblemDetails, QueryAnswer, RequestId};
 
 use crate::client::{CallAnswer, LabClient};
 
@@ -120,8 +120,8 @@
         }
         let problem: Option<ProblemDetails> = serde_json::from_slice(&answer.body).ok();
         match problem.map(|problem| (problem.ran, problem.request)) {
-            Some((RanState::NotRun, Some(request))) => self.refusals.push(request),
-            Some((RanState::Unknown, _)) => self.unknown += 1,
+            Some((ExecutionState::NotRun, Some(request))) => self.refusals.push(request),
+            Some((ExecutionState::Unknown, _)) => self.unknown += 1,
             _ => self.failed += 1,
         }
     }
--- a/crates/lab/src/orders.rs
+++ b/crates/lab/src/orders.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use http::{Method, StatusCode};
 use serde::{Deserialize, Serialize};
-use streamfold_model::{ProblemDetails, RanState};
+use streamfold_model::{ExecutionState, ProblemDetails};
 
 use crate::client::LabClient;
 use crate::fleet::{INDEX, TOKEN};
@@ -99,7 +99,7 @@
             return ToldOutcome::Ran;
         }
         match serde_json::from_slice::<ProblemDetails>(&answer.body) {
-            Ok(problem) if problem.ran == RanState::NotRun => ToldOutcome::NotRun(problem.kind),
+            Ok(problem) if problem.ran == ExecutionState::NotRun => ToldOutcome::NotRun(problem.kind),
             Ok(problem) => ToldOutcome::Unknown(problem.kind),
             Err(_) => ToldOutcome::NoAnswer,
         }
--- a/crates/lab/src/server.rs
+++ b/crates/lab/src/server.rs
@@ -16,8 +16,9 @@
 use hyper_util::rt::{TokioExecutor, TokioIo};
 use hyper_util::server::conn::auto::Builder;
 use streamfold_model::server::{
-    SERVER_ATTEMPT, SERVER_DRAINING, SERVER_HELD, SERVER_INCARNATION, SERVER_KEY, SERVER_LOAD, SERVER_RAN,
-    SERVER_REQUEST, SERVER_SHARDS, SERVER_VERSION, read_shards,
+    SERVER_HEADER_ATTEMPT, SERVER_HEADER_DRAINING, SERVER_HEADER_HELD, SERVER_HEADER_INCARNATION, SERVER_HEADER_KEY,
+    SERVER_HEADER_LOAD, SERVER_HEADER_RAN, SERVER_HEADER_REQUEST, SERVER_HEADER_SHARDS, SERVER_HEADER_VERSION,
+    parse_shards,
 };
 use streamfold_model::{IndexName, ShardId};
 use tokio::net::TcpListener;
@@ -289,30 +290,30 @@
         let (oldest, newest) = self.held();
         let builder = Response::builder()
             .status(status)
-            .header(SERVER_ATTEMPT, attempt)
-            .header(SERVER_HELD, format!("{oldest}-{newest}"))
-            .header(SERVER_LOAD, format!("{:.2}", self.load()))
-            .header(SERVER_DRAINING, self.switches.draining.load(Ordering::Relaxed).to_string())
-            .header(SERVER_INCARNATION, self.incarnation.to_string());
+            .header(SERVER_HEADER_ATTEMPT, attempt)
+            .header(SERVER_HEADER_HELD, format!("{oldest}-{newest}"))
+            .header(SERVER_HEADER_LOAD, format!("{:.2}", self.load()))
+            .header(SERVER_HEADER_DRAINING, self.switches.draining.load(Ordering::Relaxed).to_string())
+            .header(SERVER_HEADER_INCARNATION, self.incarnation.to_string());
         builder.body(Full::new(body)).unwrap_or_default()
     }
 
     fn refuse(&self, status: StatusCode, attempt: &str) -> Response<Full<Bytes>> {
         let mut response = self.response(status, attempt, Bytes::new());
-        response.headers_mut().insert(SERVER_RAN, http::HeaderValue::from_static("not_run"));
+        response.headers_mut().insert(SERVER_HEADER_RAN, http::HeaderValue::from_static("not_run"));
         response
     }
 
     async fn run(&self, headers: &HeaderMap, body: &Bytes, is_order: bool) -> Response<Full<Bytes>> {
         self.counts.calls.fetch_add(1, Ordering::Relaxed);
-        let attempt = text(headers, SERVER_ATTEMPT).unwrap_or_default();
-        let shards = text(headers, SERVER_SHARDS).and_then(|shards| read_shards(shards, MAX_SHARDS));
+        let attempt = text(headers, SERVER_HEADER_ATTEMPT).unwrap_or_default();
+        let shards = text(headers, SERVER_HEADER_SHARDS).and_then(|shards| parse_shards(shards, MAX_SHARDS));
         let Some(shards) = shards else { return self.refuse(StatusCode::BAD_REQUEST, attempt) };
         if self.switches.draining.load(Ordering::Relaxed) {
             self.counts.calls_while_draining.fetch_add(1, Ordering::Relaxed);
         }
         let (oldest, newest) = self.held();
-        let version = text(headers, SERVER_VERSION).and_then(|version| version.parse().ok()).unwrap_or(newest);
+        let version = text(headers, SERVER_HEADER_VERSION).and_then(|version| version.parse().ok()).unwrap_or(newest);
         if version < oldest || version > newest {
             return self.refuse(StatusCode::CONFLICT, attempt);
         }
@@ -324,13 +325,13 @@
         }
         let slot = self.slots.acquire().await;
         self.counts.runs.fetch_add(1, Ordering::Relaxed);
-        self.log.note_request(text(headers, SERVER_REQUEST).unwrap_or_default());
-        if is_order && let Some(key) = text(headers, SERVER_KEY) {
+        self.log.note_request(text(headers, SERVER_HEADER_REQUEST).unwrap_or_default());
+        if is_order && let Some(key) = text(headers, SERVER_HEADER_KEY) {
             self.log.note(key);
         }
         self.work().await;
         drop((slot, permit));
-        let request = text(headers, SERVER_REQUEST).unwrap_or_default();
+        let request = text(headers, SERVER_HEADER_REQUEST).unwrap_or_default();
         let own = (attempt.to_owned(), version, Bytes::from(results(&shards, version, request, body)));
         let earlier = self.last.lock().unwrap_or_else(PoisonError::into_inner).replace(own.clone());
         let (attempt, version, body) = match earlier {
@@ -338,7 +339,7 @@
             _ => own,
         };
         let mut response = self.response(StatusCode::OK, &attempt, body);
-        response.headers_mut().insert(SERVER_VERSION, http::HeaderValue::from(version));
+        response.headers_mut().insert(SERVER_HEADER_VERSION, http::HeaderValue::from(version));
         response
     }
 
--- a/crates/link/src/frame.rs
+++ b/crates/link/src/frame.rs
@@ -8,19 +8,19 @@
 use crate::error::PeerError;
 
 /// The largest frame of any kind.
-pub const MAX_FRAME: usize = 64 << 20;
+pub const MAX_FRAME_LEN: usize = 64 << 20;
 
-const BINCODE: BincodeConfig<LittleEndian, Varint, Limit<MAX_FRAME>> =
-    bincode::config::standard().with_limit::<MAX_FRAME>();
+const BINCODE: BincodeConfig<LittleEndian, Varint, Limit<MAX_FRAME_LEN>> =
+    bincode::config::standard().with_limit::<MAX_FRAME_LEN>();
 
 /// Encodes a message as one frame.
 ///
 /// # Errors
-/// The message cannot be encoded, or is over [`MAX_FRAME`].
+/// The message cannot be encoded, or is over [`MAX_FRAME_LEN`].
 pub fn encode_frame<M: Encode>(message: &M) -> Result<Bytes, PeerError> {
     let mut frame = vec![0; 4];
     let length = bincode::encode_into_std_write(message, &mut frame, BINCODE)?;
-    if length > MAX_FRAME {
+    if length > MAX_FRAME_LEN {
         return Err(PeerError::FrameTooLong(length));
     }
     frame[..4].copy_from_slice(&(length as u32).to_be_bytes());
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -8,6 +8,6 @@
 pub mod socket;
 
 pub use error::PeerError;
-pub use frame::{FrameReader, MAX_FRAME, decode_body, encode_frame, send_frame};
-pub use link::{PEER_FRAME, PEER_WINDOW, PeerLink};
+pub use frame::{FrameReader, MAX_FRAME_LEN, decode_body, encode_frame, send_frame};
+pub use link::{PEER_HTTP2_FRAME_SIZE, PEER_WINDOW_SIZE, PeerLink};
 pub use server::{PeerService, read_message, refuse, reply};
--- a/crates/link/src/link.rs
+++ b/crates/link/src/link.rs
@@ -15,8 +15,8 @@
 use tokio::sync::Mutex;
 
 use crate::error::PeerError;
-use crate::frame::{FrameReader, MAX_FRAME, encode_frame, send_frame};
-use crate::socket::watch_peer;
+use crate::frame::{FrameReader, MAX_FRAME_LEN, encode_frame, send_frame};
+use crate::socket::set_tcp_options;
 
 /// How long connecting may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -25,9 +25,9 @@
 /// Calls in a row without an answer after which the connection is given up.
 const MAX_SILENT_CALLS: u32 = 2;
 /// Flow-control window of each stream and connection.
-pub const PEER_WINDOW: u32 = 8 << 20;
+pub const PEER_WINDOW_SIZE: u32 = 8 << 20;
 /// The largest HTTP/2 frame between nodes.
-pub const PEER_FRAME: u32 = 256 << 10;
+pub const PEER_HTTP2_FRAME_SIZE: u32 = 256 << 10;
 
 /// A connection in use. A task of its own drives it until nothing more is on its way over it, also when no new
 /// message goes out on it any more.
@@ -73,17 +73,17 @@
     ///
     /// # Errors
     /// The node cannot be reached.
-    pub async fn connect_now(self: &Arc<Self>) -> Result<(), PeerError> {
+    pub async fn ensure_connected(self: &Arc<Self>) -> Result<(), PeerError> {
         self.sender().await.map(|_| ())
     }
 
     /// Notes that the node replied to something.
-    pub fn note_heard(&self, now: Moment) {
+    pub fn record_reply(&self, now: Moment) {
         self.heard.fetch_max(now.0, Ordering::Relaxed);
     }
 
     /// Whether the node has replied to nothing since a moment.
-    pub fn is_silent_since(&self, moment: Moment) -> bool {
+    pub fn has_no_reply_since(&self, moment: Moment) -> bool {
         self.heard.load(Ordering::Relaxed) < moment.0
     }
 
@@ -113,10 +113,10 @@
 
     async fn connect(self: &Arc<Self>) -> Result<SendRequest<Bytes>, PeerError> {
         let stream = TcpStream::connect(self.address).await.map_err(|_| PeerError::NotConnected)?;
-        watch_peer(&stream).map_err(|_| PeerError::NotConnected)?;
+        set_tcp_options(&stream).map_err(|_| PeerError::NotConnected)?;
         let mut builder = h2::client::Builder::new();
-        builder.initial_window_size(PEER_WINDOW).initial_connection_window_size(PEER_WINDOW);
-        builder.max_frame_size(PEER_FRAME);
+        builder.initial_window_size(PEER_WINDOW_SIZE).initial_connection_window_size(PEER_WINDOW_SIZE);
+        builder.max_frame_size(PEER_HTTP2_FRAME_SIZE);
         let (sender, connection) = builder.handshake(stream).await?;
         let number = self.connections.fetch_add(1, Ordering::Relaxed);
         self.current.store(Some(Arc::new(OpenLink { number, sender: sender.clone() })));
@@ -154,7 +154,7 @@
         if !response.status().is_success() {
             return Err(PeerError::BadStatus(response.status().as_u16()));
         }
-        Ok(FrameReader::new(response.into_body(), MAX_FRAME))
+        Ok(FrameReader::new(response.into_body(), MAX_FRAME_LEN))
     }
 
     /// Sends a message and returns its one answer.
@@ -187,7 +187,7 @@
     ///
     /// # Errors
     /// As [`Self::stream`].
-    pub async fn call_first<M: Encode, A: Decode<()>>(
+    pub async fn call_without_timeout<M: Encode, A: Decode<()>>(
         self: &Arc<Self>,
         path: &str,
         message: &M,
--- a/crates/link/src/server.rs
+++ b/crates/link/src/server.rs
@@ -13,8 +13,8 @@
 
 use crate::error::PeerError;
 use crate::frame::{FrameReader, encode_frame, send_frame};
-use crate::link::{PEER_FRAME, PEER_WINDOW};
-use crate::socket::watch_peer;
+use crate::link::{PEER_HTTP2_FRAME_SIZE, PEER_WINDOW_SIZE};
+use crate::socket::set_tcp_options;
 
 /// Streams one node may have open at once on one link.
 const MAX_STREAMS: u32 = 10_000;
@@ -38,10 +38,10 @@
     ) -> BoxFuture<'a, Result<(), PeerError>>;
 
     /// Notes a malformed message.
-    fn note_malformed(&self, path: &str);
+    fn record_malformed(&self, path: &str);
 
     /// How long a link may be without its first message.
-    fn first_message_within(&self) -> Duration {
+    fn first_message_timeout(&self) -> Duration {
         FIRST_STREAM_TIMEOUT
     }
 }
@@ -63,18 +63,18 @@
 }
 
 async fn serve_link(service: Arc<dyn PeerService>, stream: TcpStream) -> Result<(), h2::Error> {
-    if let Err(error) = watch_peer(&stream) {
+    if let Err(error) = set_tcp_options(&stream) {
         // Without the options frames wait for each other, and a cut is found later.
         tracing::debug!(event = "peer_options_failed", %error);
     }
     let mut builder = h2::server::Builder::new();
-    builder.initial_window_size(PEER_WINDOW).initial_connection_window_size(PEER_WINDOW);
-    builder.max_frame_size(PEER_FRAME).max_concurrent_streams(MAX_STREAMS);
+    builder.initial_window_size(PEER_WINDOW_SIZE).initial_connection_window_size(PEER_WINDOW_SIZE);
+    builder.max_frame_size(PEER_HTTP2_FRAME_SIZE).max_concurrent_streams(MAX_STREAMS);
     let handshake = tokio::time::timeout(HANDSHAKE_TIMEOUT, builder.handshake::<_, Bytes>(stream)).await;
     let Ok(connection) = handshake else { return Ok(()) };
     let mut connection = connection?;
     let (close, mut closed) = mpsc::channel::<()>(1);
-    let mut patience = service.first_message_within();
+    let mut patience = service.first_message_timeout();
     loop {
         tokio::select! {
             accepted = tokio::time::timeout(patience, connection.accept()) => {
@@ -108,7 +108,7 @@
     let path = request.uri().path().to_owned();
     let result = service.serve(&path, request.into_body(), &mut respond).await;
     if let Err(PeerError::Decode(_) | PeerError::FrameTooLong(_) | PeerError::BadStatus(_)) = result {
-        service.note_malformed(&path);
+        service.record_malformed(&path);
         tracing::warn!(event = "bad_peer_message", path = %path);
         // A full channel means that the link is being closed already.
         let _ = close.try_send(());
--- a/crates/link/src/socket.rs
+++ b/crates/link/src/socket.rs
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 /// The system refuses an option.
-pub fn watch_peer(stream: &TcpStream) -> std::io::Result<()> {
+pub fn set_tcp_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
--- a/crates/link/tests/silent_link.rs
+++ b/crates/link/tests/silent_link.rs
@@ -60,7 +60,7 @@
         self.answer(path, body, respond).boxed()
     }
 
-    fn note_malformed(&self, _: &str) {}
+    fn record_malformed(&self, _: &str) {}
 }
 
 async fn start() -> (Arc<SlowNode>, Arc<PeerLink>) {
--- a/crates/model/src/answer.rs
+++ b/crates/model/src/answer.rs
@@ -21,7 +21,7 @@
 /// Whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, Encode, Decode)]
 #[serde(rename_all = "snake_case")]
-pub enum RanState {
+pub enum ExecutionState {
     /// It certainly did not run and never will.
     NotRun,
     /// It ran.
@@ -30,7 +30,7 @@
     Unknown,
 }
 
-impl fmt::Display for RanState {
+impl fmt::Display for ExecutionState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::NotRun => "not_run",
@@ -99,7 +99,7 @@
 
 impl ShardCoverage {
     /// The share answered, 0 to 1; 1 when nothing was asked for.
-    pub fn share(&self) -> f64 {
+    pub fn answered_fraction(&self) -> f64 {
         if self.shards == 0 {
             return 1.0;
         }
@@ -135,7 +135,7 @@
     /// What went wrong, where, for people.
     pub detail: String,
     /// Whether the request ran.
-    pub ran: RanState,
+    pub ran: ExecutionState,
     /// The request's id, when one was given out.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request: Option<RequestId>,
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -18,7 +18,7 @@
     /// The text has no characters.
     #[error("a {0} must not be empty")]
     Empty(&'static str),
-    /// The text is longer than [`MAX_NAME_LEN`] or, for ids of others, [`MAX_TOKEN_LEN`].
+    /// The text is longer than [`MAX_NAME_LEN`] or, for ids of others, [`MAX_EXTERNAL_NAME_LEN`].
     #[error("a {0} is too long")]
     TooLong(&'static str),
     /// Only lower-case letters, digits, `-`, `_` and `.` are names.
@@ -31,7 +31,7 @@
     },
     /// The text is not a number of the wanted form.
     #[error("{text:?} is not a {kind}")]
-    NotNumber {
+    BadFormat {
         /// What was being read.
         kind: &'static str,
         /// The text found.
@@ -54,14 +54,14 @@
 }
 
 /// The longest token accepted, in bytes.
-pub const MAX_TOKEN_LEN: usize = 128;
+pub const MAX_EXTERNAL_NAME_LEN: usize = 128;
 
 /// Names that others hand out are taken as they come, if they are short and printable.
-fn check_token(kind: &'static str, text: &str) -> Result<(), ParseIdError> {
+fn check_external_name(kind: &'static str, text: &str) -> Result<(), ParseIdError> {
     if text.is_empty() {
         return Err(ParseIdError::Empty(kind));
     }
-    if text.len() > MAX_TOKEN_LEN {
+    if text.len() > MAX_EXTERNAL_NAME_LEN {
         return Err(ParseIdError::TooLong(kind));
     }
     match text.chars().find(|c| !c.is_ascii_graphic()) {
@@ -137,7 +137,7 @@
 );
 name_id!(
     /// Names a region: failure domains near each other.
-    RegionName, "region name", check_token
+    RegionName, "region name", check_external_name
 );
 name_id!(
     /// Names a node: one VM's daemon, across its restarts.
@@ -146,19 +146,19 @@
 
 name_id!(
     /// Names a route.
-    RouteName, "route name", check_token
+    RouteName, "route name", check_external_name
 );
 name_id!(
     /// Names a service: servers of which any one can answer a request.
-    ServiceName, "service name", check_token
+    ServiceName, "service name", check_external_name
 );
 name_id!(
     /// Names a team that calls routes.
-    TeamName, "team name", check_token
+    TeamName, "team name", check_external_name
 );
 name_id!(
     /// Names a server. A process that starts again may have the name that it had before.
-    ServerId, "server id", check_token
+    ServerId, "server id", check_external_name
 );
 
 macro_rules! number_id {
@@ -172,7 +172,7 @@
             type Err = ParseIdError;
 
             fn from_str(text: &str) -> Result<Self, ParseIdError> {
-                let bad = |_| ParseIdError::NotNumber { kind: $kind, text: text.chars().take(MAX_NAME_LEN).collect() };
+                let bad = |_| ParseIdError::BadFormat { kind: $kind, text: text.chars().take(MAX_NAME_LEN).collect() };
                 text.parse().map(Self).map_err(bad)
             }
         }
@@ -280,7 +280,7 @@
             type Err = ParseIdError;
 
             fn from_str(text: &str) -> Result<Self, ParseIdError> {
-                let bad = || ParseIdError::NotNumber { kind: $kind, text: text.chars().take(MAX_NAME_LEN).collect() };
+                let bad = || ParseIdError::BadFormat { kind: $kind, text: text.chars().take(MAX_NAME_LEN).collect() };
                 if text.len() != 32 {
                     return Err(bad());
                 }
@@ -352,7 +352,7 @@
     type Err = ParseIdError;
 
     fn from_str(text: &str) -> Result<Self, ParseIdError> {
-        let bad = |_| ParseIdError::NotNumber { kind: "server address (IP number and port)", text: text.to_owned() };
+        let bad = |_| ParseIdError::BadFormat { kind: "server address (IP number and port)", text: text.to_owned() };
         text.parse().map(Self).map_err(bad)
     }
 }
@@ -380,7 +380,7 @@
 
     fn from_str(text: &str) -> Result<Self, ParseIdError> {
         let mut digest = [0; 32];
-        let bad = |_| ParseIdError::NotNumber {
+        let bad = |_| ParseIdError::BadFormat {
             kind: "SHA-256 digest of 64 hex digits",
             text: text.chars().take(MAX_NAME_LEN).collect(),
         };
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod team;
 pub mod units;
 
-pub use answer::{MissingReason, MissingShard, ProblemDetails, QueryAnswer, RanState, ShardCoverage};
+pub use answer::{ExecutionState, MissingReason, MissingShard, ProblemDetails, QueryAnswer, ShardCoverage};
 pub use check::{CheckError, CheckProblem, SourceFile};
 pub use config::{CallerSpec, Configuration, IndexSpec, ShardLayout, UpstreamSpec};
 pub use document::{CallerPreference, ServerProtocol};
@@ -23,8 +23,8 @@
 pub use ids::*;
 pub use outcome::AttemptOutcome;
 pub use routing::{
-    CallerLimits, CrashEntry, HomeRegions, NodeEntry, RouteKind, RouteSpec, RouteTable, RouteTarget, ServerEntry,
-    ServiceSpec, ShardFold, TableError, WeightedService,
+    AllowedRegions, CallerLimits, CrashEntry, GatherSpec, NodeEntry, RouteKind, RouteSpec, RouteTable, RouteTarget,
+    ServerEntry, ServiceSpec, TableError, WeightedService,
 };
 pub use team::{KeyDigest, TeamDirectory, TeamError, TeamKeys, TeamSpec, UsageLimit};
 pub use units::{ByteSize, CallRate, CoreShare, ParseUnitError, Priority, TimeSpan};
--- a/crates/model/src/outcome.rs
+++ b/crates/model/src/outcome.rs
@@ -3,7 +3,7 @@
 use bincode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-use crate::answer::RanState;
+use crate::answer::ExecutionState;
 
 /// How one attempt at one server ended, from the most certain "not run" on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode)]
@@ -27,16 +27,16 @@
 
     /// What may be said of two attempts together: the outcome that says least for certain.
     /// So a request is "not run" only if each of its attempts certainly did not run.
-    pub fn with(self, other: Self) -> Self {
+    pub fn combine(self, other: Self) -> Self {
         self.max(other)
     }
 
     /// What a request may be told as after attempts that together ended so.
-    pub fn ran(self) -> RanState {
+    pub fn execution_state(self) -> ExecutionState {
         match self {
-            Self::NotSent | Self::Refused => RanState::NotRun,
-            Self::Answered => RanState::Ran,
-            Self::Unknown => RanState::Unknown,
+            Self::NotSent | Self::Refused => ExecutionState::NotRun,
+            Self::Answered => ExecutionState::Ran,
+            Self::Unknown => ExecutionState::Unknown,
         }
     }
 }
--- a/crates/model/src/routing.rs
+++ b/crates/model/src/routing.rs
@@ -25,34 +25,34 @@
 
 /// The regions in which requests may be served and their bodies may travel.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
-pub enum HomeRegions {
+pub enum AllowedRegions {
     /// All of them.
     #[default]
-    Everywhere,
+    Any,
     /// Only these.
     Only(Vec<RegionName>),
 }
 
-impl HomeRegions {
+impl AllowedRegions {
     /// The regions that an operator lists; an empty list binds nothing.
-    pub fn listed(regions: Vec<RegionName>) -> Self {
-        if regions.is_empty() { Self::Everywhere } else { Self::Only(regions) }
+    pub fn from_list(regions: Vec<RegionName>) -> Self {
+        if regions.is_empty() { Self::Any } else { Self::Only(regions) }
     }
 
     /// The regions that these and others have in common.
-    pub fn within(&self, others: &Self) -> Self {
+    pub fn intersect(&self, others: &Self) -> Self {
         match (self, others) {
-            (Self::Everywhere, homes) | (homes, Self::Everywhere) => homes.clone(),
+            (Self::Any, homes) | (homes, Self::Any) => homes.clone(),
             (Self::Only(regions), Self::Only(_)) => {
-                Self::Only(regions.iter().filter(|region| others.allow(Some(region))).cloned().collect())
+                Self::Only(regions.iter().filter(|region| others.allows(Some(region))).cloned().collect())
             }
         }
     }
 
     /// Whether a region is among them; one that is not known is not, unless all are.
-    pub fn allow(&self, region: Option<&RegionName>) -> bool {
+    pub fn allows(&self, region: Option<&RegionName>) -> bool {
         match self {
-            Self::Everywhere => true,
+            Self::Any => true,
             Self::Only(regions) => region.is_some_and(|region| regions.contains(region)),
         }
     }
@@ -69,7 +69,7 @@
 
 /// How the answers of all shards become one.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-pub struct ShardFold {
+pub struct GatherSpec {
     /// The shards: each is a service.
     pub shards: Vec<ServiceName>,
     /// How many records the answer holds, the greatest first.
@@ -82,9 +82,9 @@
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub enum RouteTarget {
     /// To one service of these.
-    One(Vec<WeightedService>),
+    Split(Vec<WeightedService>),
     /// To every shard.
-    All(ShardFold),
+    Gather(GatherSpec),
 }
 
 /// A route.
@@ -107,9 +107,9 @@
     /// The rank of its requests, where their team has none.
     pub priority: Priority,
     /// Where its requests may be served.
-    pub homes: HomeRegions,
+    pub allowed_regions: AllowedRegions,
     /// Whether its requests need no key where others do.
-    pub is_open: bool,
+    pub is_auth_exempt: bool,
     /// Where its requests go.
     pub target: RouteTarget,
 }
@@ -118,8 +118,8 @@
     /// The services it sends requests to.
     pub fn services(&self) -> Box<dyn Iterator<Item = &ServiceName> + '_> {
         match &self.target {
-            RouteTarget::One(parts) => Box::new(parts.iter().map(|part| &part.service)),
-            RouteTarget::All(fold) => Box::new(fold.shards.iter()),
+            RouteTarget::Split(parts) => Box::new(parts.iter().map(|part| &part.service)),
+            RouteTarget::Gather(fold) => Box::new(fold.shards.iter()),
         }
     }
 }
@@ -134,9 +134,9 @@
     /// Where its servers tell their health.
     pub health_path: String,
     /// How long a server of it stays cold after it has started.
-    pub cold_for: Duration,
+    pub warmup_duration: Duration,
     /// Requests a second that a cold server bears; none if that is not bounded.
-    pub cold_rate: Option<f64>,
+    pub warmup_rate: Option<f64>,
 }
 
 /// What callers may send.
@@ -157,13 +157,13 @@
 pub enum TableError {
     /// Two routes have one host and prefix.
     #[error("route {0} has the host and prefix of another route")]
-    SamePrefix(RouteName),
+    DuplicatePrefix(RouteName),
     /// A route names no service.
     #[error("route {0} leads nowhere")]
-    NoTarget(RouteName),
+    NoService(RouteName),
     /// A route names one shard twice.
     #[error("route {0} names a shard twice")]
-    SameShard(RouteName),
+    DuplicateShard(RouteName),
 }
 
 /// One version of all routes, whole.
@@ -197,7 +197,7 @@
         for (position, route) in routes.iter().enumerate() {
             check_route(route)?;
             if !taken.insert((&route.host, &route.path_prefix)) {
-                return Err(TableError::SamePrefix(route.name.clone()));
+                return Err(TableError::DuplicatePrefix(route.name.clone()));
             }
             by_host.entry(route.host.clone()).or_default().push(position);
         }
@@ -210,7 +210,7 @@
     }
 
     /// The services that requests of different priority use, by their routes or their teams.
-    pub fn mixed_services(&self) -> HashSet<ServiceName> {
+    pub fn mixed_priority_services(&self) -> HashSet<ServiceName> {
         let mut by_service: HashMap<&ServiceName, HashSet<Priority>> = HashMap::new();
         for route in &self.routes {
             let priorities = self.priorities(route);
@@ -226,7 +226,7 @@
     fn priorities(&self, route: &RouteSpec) -> HashSet<Priority> {
         let Some(teams) = &self.teams else { return HashSet::from([route.priority]) };
         let of_teams = teams.teams().map(|team| team.priority.unwrap_or(route.priority));
-        let of_others = route.is_open.then_some(route.priority);
+        let of_others = route.is_auth_exempt.then_some(route.priority);
         of_teams.chain(of_others).collect()
     }
 
@@ -261,12 +261,12 @@
 
 fn check_route(route: &RouteSpec) -> Result<(), TableError> {
     if route.services().next().is_none() {
-        return Err(TableError::NoTarget(route.name.clone()));
+        return Err(TableError::NoService(route.name.clone()));
     }
-    if let RouteTarget::All(fold) = &route.target {
+    if let RouteTarget::Gather(fold) = &route.target {
         let distinct: HashSet<_> = fold.shards.iter().collect();
         if distinct.len() < fold.shards.len() {
-            return Err(TableError::SameShard(route.name.clone()));
+            return Err(TableError::DuplicateShard(route.name.clone()));
         }
     }
     Ok(())
@@ -312,7 +312,7 @@
     /// Where its peers' port listens.
     pub peer_address: SocketAddr,
     /// The processor it has; a node of an older version does not tell.
-    pub power: Option<CoreShare>,
+    pub cpu_share: Option<CoreShare>,
 }
 
 /// A content that ended servers, as all nodes are told.
--- a/crates/model/src/server.rs
+++ b/crates/model/src/server.rs
@@ -6,30 +6,30 @@
 use crate::ids::ShardId;
 
 /// Header out: the request's id.
-pub const SERVER_REQUEST: &str = "streamfold-request";
+pub const SERVER_HEADER_REQUEST: &str = "streamfold-request";
 /// Header out and back: the attempt's id, which the answer must echo.
-pub const SERVER_ATTEMPT: &str = "streamfold-attempt";
+pub const SERVER_HEADER_ATTEMPT: &str = "streamfold-attempt";
 /// Header out: the shards wanted, such as `0-3,7`.
-pub const SERVER_SHARDS: &str = "streamfold-shards";
+pub const SERVER_HEADER_SHARDS: &str = "streamfold-shards";
 /// Header out: the wanted index version. Back: the version answered from.
-pub const SERVER_VERSION: &str = "streamfold-index-version";
+pub const SERVER_HEADER_VERSION: &str = "streamfold-index-version";
 /// Header out: microseconds left to the deadline.
-pub const SERVER_DEADLINE: &str = "streamfold-deadline-us";
+pub const SERVER_HEADER_DEADLINE: &str = "streamfold-deadline-us";
 /// Header out: the key of a request that is not repeatable.
-pub const SERVER_KEY: &str = "idempotency-key";
+pub const SERVER_HEADER_KEY: &str = "idempotency-key";
 /// Header back: oldest and newest version held, such as `3-9`.
-pub const SERVER_HELD: &str = "streamfold-held";
+pub const SERVER_HEADER_HELD: &str = "streamfold-held";
 /// Header back: load, 0 to 1.
-pub const SERVER_LOAD: &str = "streamfold-load";
+pub const SERVER_HEADER_LOAD: &str = "streamfold-load";
 /// Header back: `true` once the server is leaving.
-pub const SERVER_DRAINING: &str = "streamfold-draining";
+pub const SERVER_HEADER_DRAINING: &str = "streamfold-draining";
 /// Header back: which run of the server process answers.
-pub const SERVER_INCARNATION: &str = "streamfold-incarnation";
+pub const SERVER_HEADER_INCARNATION: &str = "streamfold-incarnation";
 /// Header back: `not_run` where the server certainly did not run the request.
-pub const SERVER_RAN: &str = "streamfold-ran";
+pub const SERVER_HEADER_RAN: &str = "streamfold-ran";
 
 /// Writes shards as ranges: `0-3,7`.
-pub fn write_shards(shards: &[ShardId]) -> String {
+pub fn format_shards(shards: &[ShardId]) -> String {
     use std::fmt::Write;
     let mut text = String::new();
     let mut rest = shards;
@@ -47,8 +47,8 @@
     text
 }
 
-/// Reads what [`write_shards`] wrote; `None` where it is malformed or names over `most` shards.
-pub fn read_shards(text: &str, most: usize) -> Option<Vec<ShardId>> {
+/// Reads what [`format_shards`] wrote; `None` where it is malformed or names over `most` shards.
+pub fn parse_shards(text: &str, most: usize) -> Option<Vec<ShardId>> {
     let mut shards = Vec::new();
     for part in text.split(',') {
         let (first, last) = part.split_once('-').unwrap_or((part, part));
--- a/crates/model/src/team.rs
+++ b/crates/model/src/team.rs
@@ -8,7 +8,7 @@
 use sha2::{Digest, Sha256};
 
 use crate::ids::TeamName;
-use crate::routing::HomeRegions;
+use crate::routing::AllowedRegions;
 use crate::units::Priority;
 
 /// A caller's key as it is kept and compared: a digest from which nobody can tell the key.
@@ -45,7 +45,7 @@
     /// The rank of its requests in place of their route's.
     pub priority: Option<Priority>,
     /// Where its requests may be served, within what their route allows.
-    pub homes: HomeRegions,
+    pub allowed_regions: AllowedRegions,
     /// How many requests it may send; without a limit any number.
     pub limit: Option<UsageLimit>,
 }
@@ -64,10 +64,10 @@
 pub enum TeamError {
     /// Two teams have one name.
     #[error("team {0} is there twice")]
-    SameName(TeamName),
+    DuplicateName(TeamName),
     /// Two teams have one key.
     #[error("team {0} has a key of another team")]
-    SameKey(TeamName),
+    DuplicateKey(TeamName),
 }
 
 /// The teams of one version of the routes, by their keys.
@@ -85,12 +85,12 @@
     pub fn build(listed: Vec<TeamKeys>) -> Result<Self, TeamError> {
         let mut directory = Self::default();
         for (position, TeamKeys { team, keys }) in listed.into_iter().enumerate() {
-            if directory.find_name(&team.name).is_some() {
-                return Err(TeamError::SameName(team.name));
+            if directory.find_by_name(&team.name).is_some() {
+                return Err(TeamError::DuplicateName(team.name));
             }
             for key in keys {
                 if directory.by_key.insert(key, position).is_some_and(|other| other != position) {
-                    return Err(TeamError::SameKey(team.name));
+                    return Err(TeamError::DuplicateKey(team.name));
                 }
             }
             directory.teams.push(Arc::new(team));
@@ -104,7 +104,7 @@
     }
 
     /// The team of a name.
-    pub fn find_name(&self, name: &TeamName) -> Option<&Arc<TeamSpec>> {
+    pub fn find_by_name(&self, name: &TeamName) -> Option<&Arc<TeamSpec>> {
         self.teams.iter().find(|team| team.name == *name)
     }
 
--- a/crates/model/src/units.rs
+++ b/crates/model/src/units.rs
@@ -153,7 +153,7 @@
 
 impl CoreShare {
     /// How long work takes that a whole core does in a time.
-    pub fn stretch(self, work: Duration) -> Duration {
+    pub fn time_for(self, work: Duration) -> Duration {
         work.mul_f64(1e3 / f64::from(self.0.max(1)))
     }
 }
--- a/crates/model/tests/routing.rs
+++ b/crates/model/tests/routing.rs
@@ -3,7 +3,9 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use streamfold_model::routing::{CallerLimits, HomeRegions, RouteKind, RouteSpec, RouteTable, RouteTarget, ShardFold};
+use streamfold_model::routing::{
+    AllowedRegions, CallerLimits, GatherSpec, RouteKind, RouteSpec, RouteTable, RouteTarget,
+};
 use streamfold_model::team::{TeamDirectory, TeamKeys, TeamSpec};
 use streamfold_model::{Priority, TableVersion};
 
@@ -24,9 +26,9 @@
         target_latency: Duration::from_millis(100),
         max_attempts: 3,
         priority: Priority(priority),
-        homes: HomeRegions::Everywhere,
-        is_open: false,
-        target: RouteTarget::All(ShardFold {
+        allowed_regions: AllowedRegions::Any,
+        is_auth_exempt: false,
+        target: RouteTarget::Gather(GatherSpec {
             shards: shards.iter().map(|shard| shard.parse().expect("a name")).collect(),
             top: 10,
             min_coverage: 0.5,
@@ -39,13 +41,14 @@
 }
 
 fn is_mixed(table: &RouteTable) -> bool {
-    !table.mixed_services().is_empty()
+    !table.mixed_priority_services().is_empty()
 }
 
 fn teams(priorities: &[Option<u32>]) -> TeamDirectory {
     let team = |(number, priority): (usize, &Option<u32>)| {
         let name = format!("team-{number}").parse().expect("a name");
-        let team = TeamSpec { name, priority: priority.map(Priority), homes: HomeRegions::Everywhere, limit: None };
+        let team =
+            TeamSpec { name, priority: priority.map(Priority), allowed_regions: AllowedRegions::Any, limit: None };
         TeamKeys { team, keys: Vec::new() }
     };
     TeamDirectory::build(priorities.iter().enumerate().map(team).collect()).expect("teams")
@@ -57,7 +60,7 @@
     assert!(!is_mixed(&table(vec![route("a", 1, &["x", "y"]), route("b", 1, &["y"])])));
     let table = table(vec![route("a", 0, &["x", "y"]), route("b", 1, &["y"])]);
     assert_eq!(
-        table.mixed_services(),
+        table.mixed_priority_services(),
         HashSet::from(["y".parse().expect("a name")]),
         "and not the others of the route"
     );
@@ -71,6 +74,6 @@
     assert!(is_mixed(&mixed().with_teams(teams(&[Some(2), None]))));
     assert!(is_mixed(&even().with_teams(teams(&[Some(2), Some(1)]))));
     assert!(!is_mixed(&even().with_teams(teams(&[Some(1), None]))));
-    let open = RouteSpec { is_open: true, ..route("a", 1, &["x"]) };
+    let open = RouteSpec { is_auth_exempt: true, ..route("a", 1, &["x"]) };
     assert!(is_mixed(&table(vec![open]).with_teams(teams(&[Some(2)]))));
 }
--- a/crates/policy/src/answer_margin.rs
+++ b/crates/policy/src/answer_margin.rs
@@ -20,5 +20,5 @@
 /// How long before the target an answer of so many shards is decided at a node.
 pub fn answer_margin(shards: usize, power: Option<CoreShare>) -> Duration {
     let work = ANSWER_WORK + SHARD_WORK * shards as u32;
-    power.map_or(UNKNOWN_POWER, |power| FIXED + power.stretch(work))
+    power.map_or(UNKNOWN_POWER, |power| FIXED + power.time_for(work))
 }
--- a/crates/policy/src/batch_gate.rs
+++ b/crates/policy/src/batch_gate.rs
@@ -31,7 +31,7 @@
         if wait > within.mul_f64(MAX_WAIT_SHARE) {
             return Err(wait);
         }
-        self.done_at = now.plus(wait + power.stretch(batch_work(shards)));
+        self.done_at = now.plus(wait + power.time_for(batch_work(shards)));
         Ok(())
     }
 }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -49,7 +49,7 @@
 impl OwnerGroup {
     /// The batches that so many shards make, where an answer is wanted within `target`.
     pub fn count_batches(&self, shards: usize, target: Duration) -> usize {
-        let call = self.power.stretch(CALL_WORK).as_secs_f64();
+        let call = self.power.time_for(CALL_WORK).as_secs_f64();
         let most = (target.as_secs_f64() * BATCH_SHARE / call).max(1.0);
         let batches = (shards as f64 / most).ceil() as usize;
         batches.clamp(1, self.count.max(1))
@@ -59,9 +59,9 @@
     pub fn is_worth_asking(&self, shards: usize, target: Duration, own: CoreShare) -> bool {
         let batches = self.count_batches(shards, target) as u32;
         let largest = (shards as u32).div_ceil(batches);
-        let alone = own.stretch(CALL_WORK * shards as u32);
-        let sending = own.stretch(BATCH_WORK * batches);
-        let handed = sending + self.power.stretch(batch_work(largest as usize));
+        let alone = own.time_for(CALL_WORK * shards as u32);
+        let sending = own.time_for(BATCH_WORK * batches);
+        let handed = sending + self.power.time_for(batch_work(largest as usize));
         self.count > 0 && handed < alone.mul_f64(HANDING_SHARE)
     }
 }
--- a/crates/policy/src/server_scope.rs
+++ b/crates/policy/src/server_scope.rs
@@ -7,7 +7,7 @@
 
 use std::fmt;
 
-use streamfold_model::{HomeRegions, RegionName};
+use streamfold_model::{AllowedRegions, RegionName};
 
 /// Why a server gets no new request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -52,14 +52,14 @@
 }
 
 /// What keeps requests with these homes from a server, if anything does.
-pub fn find_bar(homes: &HomeRegions, standing: ServerStanding<'_>) -> Option<ServerBar> {
+pub fn find_bar(homes: &AllowedRegions, standing: ServerStanding<'_>) -> Option<ServerBar> {
     if standing.is_leaving {
         return Some(ServerBar::Leaving);
     }
     if standing.is_evacuated {
         return Some(ServerBar::Evacuated);
     }
-    if !homes.allow(standing.region) {
+    if !homes.allows(standing.region) {
         return Some(ServerBar::OutsideHomes);
     }
     if standing.is_unreachable {
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -9,7 +9,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use streamfold_model::operator::MemberHealth;
-use streamfold_model::{AttemptOutcome, CallerName, ConfigVersion, Incarnation, IndexVersion, RanState};
+use streamfold_model::{AttemptOutcome, CallerName, ConfigVersion, ExecutionState, Incarnation, IndexVersion};
 use streamfold_policy::hedge::{ContinuousHedge, FixedHedge, HedgeRule, TableHedge};
 use streamfold_policy::owner::{choose_owners, connection_share};
 use streamfold_policy::pin::choose_version;
@@ -165,8 +165,8 @@
         let outcomes = [AttemptOutcome::NotSent, AttemptOutcome::Refused, AttemptOutcome::Answered, AttemptOutcome::Unknown];
         let attempts: Vec<AttemptOutcome> = kinds.iter().map(|kind| outcomes[usize::from(kind % 4)]).collect();
         let certain = attempts.iter().all(|outcome| outcome.is_not_run());
-        let together = attempts.into_iter().fold(AttemptOutcome::NotSent, AttemptOutcome::with);
-        (together.ran() == RanState::NotRun) == certain
+        let together = attempts.into_iter().fold(AttemptOutcome::NotSent, AttemptOutcome::combine);
+        (together.execution_state() == ExecutionState::NotRun) == certain
     }
 
     /// No rule allows more than its share at any load, and none hedges when full.
--- a/crates/policy/tests/server_scope.rs
+++ b/crates/policy/tests/server_scope.rs
@@ -1,6 +1,6 @@
 //! Which servers a request may be sent to at all.
 
-use streamfold_model::{HomeRegions, RegionName};
+use streamfold_model::{AllowedRegions, RegionName};
 use streamfold_policy::server_scope::{ServerStanding, find_bar};
 
 fn region(name: &str) -> RegionName {
@@ -11,9 +11,9 @@
 fn each_bar_keeps_a_server_from_requests() {
     let here = region("here");
     let scopes = [
-        ("everywhere", HomeRegions::listed(Vec::new())),
-        ("here", HomeRegions::listed(vec![region("there"), region("here")])),
-        ("there", HomeRegions::listed(vec![region("there")])),
+        ("everywhere", AllowedRegions::from_list(Vec::new())),
+        ("here", AllowedRegions::from_list(vec![region("there"), region("here")])),
+        ("there", AllowedRegions::from_list(vec![region("there")])),
     ];
     let mut seen = Vec::new();
     for (name, homes) in &scopes {
--- a/crates/router/src/attempt_context.rs
+++ b/crates/router/src/attempt_context.rs
@@ -7,7 +7,9 @@
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
 use futures_util::stream::FuturesUnordered;
-use streamfold_model::{FailureDomain, HomeRegions, Priority, RouteKind, RouteSpec, ServerId, ServiceName, TeamSpec};
+use streamfold_model::{
+    AllowedRegions, FailureDomain, Priority, RouteKind, RouteSpec, ServerId, ServiceName, TeamSpec,
+};
 use streamfold_policy::canary::{CallRight, RequestFate};
 use streamfold_policy::crash_book::ContentStanding;
 use streamfold_policy::replica::Distance;
@@ -61,7 +63,7 @@
     /// The request.
     pub request: Arc<CallerRequest>,
     /// Where it may be served: by its route, and by its team.
-    pub homes: HomeRegions,
+    pub homes: AllowedRegions,
     /// The team that it is of, where callers have keys.
     pub team: Option<Arc<TeamSpec>>,
     /// Its rank among requests for the same servers.
--- a/crates/router/src/batch.rs
+++ b/crates/router/src/batch.rs
@@ -3,7 +3,7 @@
 use bincode::{Decode, Encode};
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 use http::{Method, Uri};
-use streamfold_model::{HomeRegions, Priority, RouteName, ServerId, ServerRun, ServiceName, TableVersion, TeamName};
+use streamfold_model::{AllowedRegions, Priority, RouteName, ServerId, ServerRun, ServiceName, TableVersion, TeamName};
 
 /// Path of a batch of shards. It names the form of the messages: nodes of an earlier form refuse it,
 /// as this one refuses theirs, since a batch that does not tell its homes must not be served.
@@ -93,7 +93,7 @@
     /// The most servers of each shard.
     pub max_attempts: u32,
     /// Where its servers may be.
-    pub homes: HomeRegions,
+    pub homes: AllowedRegions,
     /// The route's target latency, in microseconds.
     pub target_us: u64,
     /// How long the request may still run, in microseconds.
--- a/crates/router/src/caller_team.rs
+++ b/crates/router/src/caller_team.rs
@@ -29,7 +29,7 @@
     };
     match team.filter(|_| !are_keys_lost) {
         Some(team) => Ok(Some(team.clone())),
-        None if route.is_open => Ok(None),
+        None if route.is_auth_exempt => Ok(None),
         // It may have been taken away by now.
         None if team.is_some() => Err(unknown()),
         // It may have been handed out by now.
--- a/crates/router/src/cluster_parts.rs
+++ b/crates/router/src/cluster_parts.rs
@@ -99,7 +99,7 @@
     /// How long servers of a service stay cold, where calls to cold ones are bounded; else nothing.
     fn bounded_cold(&self, service: &ServiceName) -> Duration {
         let spec = self.table.as_ref().and_then(|table| table.service(service));
-        spec.filter(|spec| spec.cold_rate.is_some()).map_or(Duration::ZERO, |spec| spec.cold_for)
+        spec.filter(|spec| spec.warmup_rate.is_some()).map_or(Duration::ZERO, |spec| spec.warmup_duration)
     }
 
     /// Ends what is known of an earlier run of a server: what was learnt of it holds for no other.
@@ -134,7 +134,7 @@
         let strongest = self.find_strongest();
         let is_owner = |entry: &NodeEntry| {
             let strongest = strongest.get(&entry.domain).copied().flatten();
-            placement::is_owner(entry.power, strongest)
+            placement::is_owner(entry.cpu_share, strongest)
         };
         let is_own_owner = self.nodes.get(&place.node).is_none_or(is_owner);
         let mut by_domain: HashMap<&FailureDomain, Vec<&NodeEntry>> = HashMap::new();
@@ -166,7 +166,7 @@
         let mut strongest: HashMap<FailureDomain, Option<CoreShare>> = HashMap::new();
         for entry in self.nodes.values().chain(gone) {
             let known = strongest.entry(entry.domain.clone()).or_default();
-            *known = (*known).max(entry.power);
+            *known = (*known).max(entry.cpu_share);
         }
         strongest
     }
@@ -185,7 +185,7 @@
             let known = old.remove(name);
             known.unwrap_or_else(|| Arc::new(SplitTurns::new(rand::random())))
         };
-        let is_split = |route: &&Arc<RouteSpec>| matches!(&route.target, RouteTarget::One(parts) if parts.len() > 1);
+        let is_split = |route: &&Arc<RouteSpec>| matches!(&route.target, RouteTarget::Split(parts) if parts.len() > 1);
         let splits = table.routes().iter().filter(is_split);
         self.turns = splits.map(|route| (route.name.clone(), keep(&route.name))).collect();
     }
@@ -194,7 +194,7 @@
     /// waiting there, and look for room by themselves.
     pub(crate) fn keep_lines(&mut self, table: &RouteTable, place: &ClusterPlace) {
         let mut old = std::mem::take(&mut self.lines);
-        self.mixed = Arc::new(table.mixed_services());
+        self.mixed = Arc::new(table.mixed_priority_services());
         for (service, rule) in find_contended(table, &self.mixed, place) {
             let make = || CallLine::new(service.clone(), rule, self.waits.clone());
             let line = old.remove(&service).unwrap_or_else(make);
@@ -210,7 +210,7 @@
         for entry in self.nodes.values().chain(gone) {
             let count = counts.entry(entry.domain.clone()).or_default();
             count.all += 1;
-            count.owners += usize::from(placement::is_owner(entry.power, strongest[&entry.domain]));
+            count.owners += usize::from(placement::is_owner(entry.cpu_share, strongest[&entry.domain]));
         }
         counts
     }
@@ -220,7 +220,7 @@
         let strongest = self.find_strongest();
         let gone = self.gone_nodes.iter().map(|(entry, _)| entry);
         let here = self.nodes.values().chain(gone).filter(|entry| entry.domain == *domain);
-        let owners = here.filter(|entry| placement::is_owner(entry.power, strongest[&entry.domain]));
+        let owners = here.filter(|entry| placement::is_owner(entry.cpu_share, strongest[&entry.domain]));
         let names: BTreeSet<NodeId> = owners.map(|entry| entry.node.clone()).collect();
         names.into_iter().collect()
     }
@@ -233,7 +233,8 @@
         }
         let strongest = self.find_strongest();
         let mut owners: BTreeMap<FailureDomain, Vec<&NodeEntry>> = BTreeMap::new();
-        for entry in self.nodes.values().filter(|entry| placement::is_owner(entry.power, strongest[&entry.domain])) {
+        for entry in self.nodes.values().filter(|entry| placement::is_owner(entry.cpu_share, strongest[&entry.domain]))
+        {
             owners.entry(entry.domain.clone()).or_default().push(entry);
         }
         owners.into_iter().map(|(domain, nodes)| (domain, choose_lenders(&nodes))).collect()
@@ -243,13 +244,13 @@
     fn is_owner(&self, node: &NodeId) -> bool {
         let strongest = self.find_strongest();
         let entry = self.nodes.get(node);
-        entry.is_some_and(|entry| placement::is_owner(entry.power, strongest[&entry.domain]))
+        entry.is_some_and(|entry| placement::is_owner(entry.cpu_share, strongest[&entry.domain]))
     }
 
     /// The services that are shards of routes.
     fn find_shards(&self) -> HashSet<ServiceName> {
         let routes = self.table.iter().flat_map(|table| table.routes());
-        let gathered = routes.filter(|route| matches!(route.target, RouteTarget::All(_)));
+        let gathered = routes.filter(|route| matches!(route.target, RouteTarget::Gather(_)));
         gathered.flat_map(|route| route.services()).cloned().collect()
     }
 
--- a/crates/router/src/cluster_view.rs
+++ b/crates/router/src/cluster_view.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use streamfold_model::{FailureDomain, HomeRegions, NodeEntry, NodeId, RouteName, RouteTable, ServiceName};
+use streamfold_model::{AllowedRegions, FailureDomain, NodeEntry, NodeId, RouteName, RouteTable, ServiceName};
 use streamfold_policy::Moment;
 use streamfold_policy::budget_share::{BudgetNode, BudgetNodes, divide_allowance};
 use streamfold_policy::cold_limit::{ColdBound, deal_calls};
@@ -61,7 +61,7 @@
     }
 
     /// The servers that a request with these homes may be sent to.
-    pub fn usable<'a>(&'a self, now: Moment, homes: &'a HomeRegions) -> impl Iterator<Item = &'a Arc<Server>> {
+    pub fn usable<'a>(&'a self, now: Moment, homes: &'a AllowedRegions) -> impl Iterator<Item = &'a Arc<Server>> {
         self.servers.iter().filter(move |server| server.find_bar(now, homes).is_none())
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// How many of its servers each bar keeps requests with these homes from, for the log.
-    pub fn count_bars(&self, now: Moment, homes: &HomeRegions) -> BTreeMap<ServerBar, usize> {
+    pub fn count_bars(&self, now: Moment, homes: &AllowedRegions) -> BTreeMap<ServerBar, usize> {
         let mut counts = BTreeMap::new();
         for bar in self.servers.iter().filter_map(|server| server.find_bar(now, homes)) {
             *counts.entry(bar).or_default() += 1;
@@ -200,7 +200,7 @@
 
     /// Calls a second that this node may make to a server while it is cold, if they are bounded.
     fn cold_share(&self, server: &Server, node: &NodeId, cold: ColdCallSettings) -> Option<u32> {
-        let rate = self.table.as_ref()?.service(&server.service)?.cold_rate?;
+        let rate = self.table.as_ref()?.service(&server.service)?.warmup_rate?;
         if server.distance != Distance::Domain {
             return Some(0);
         }
--- a/crates/router/src/connection.rs
+++ b/crates/router/src/connection.rs
@@ -13,7 +13,7 @@
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
 use socket2::SockRef;
-use streamfold_link::socket::watch_peer;
+use streamfold_link::socket::set_tcp_options;
 use tokio::net::TcpStream;
 
 use crate::error::ExchangeError;
@@ -32,7 +32,7 @@
     pub async fn open(address: SocketAddr, within: Duration) -> std::io::Result<Self> {
         let connect = tokio::time::timeout(within, TcpStream::connect(address));
         let stream = connect.await.map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
-        watch_peer(&stream)?;
+        set_tcp_options(&stream)?;
         // A call that is given up resets its connection: bytes that a cut holds back would
         // otherwise reach the server long after, as one more request.
         SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
--- a/crates/router/src/contention.rs
+++ b/crates/router/src/contention.rs
@@ -36,7 +36,8 @@
     let by_team = place.scheduling.by_team
         && place.mechanisms.has(Mechanism::TeamTurns)
         && table.teams().is_some_and(TeamDirectory::has_limits);
-    let keyed = table.routes().iter().filter(|route| by_team && !route.is_open).flat_map(|route| route.services());
+    let keyed =
+        table.routes().iter().filter(|route| by_team && !route.is_auth_exempt).flat_map(|route| route.services());
     let by_priority = mixed.iter().filter(|_| place.scheduling.by_priority);
     keyed.chain(by_priority).map(|service| (service.clone(), LineRule { by_team })).collect()
 }
--- a/crates/router/src/delegate.rs
+++ b/crates/router/src/delegate.rs
@@ -108,7 +108,7 @@
 /// Nodes of a failure domain as the rules of placement see them; `None` where there is none or
 /// one does not tell its size.
 fn find_group(peers: &[Arc<PeerNode>]) -> Option<OwnerGroup> {
-    let powers: Option<Vec<CoreShare>> = peers.iter().map(|peer| peer.entry.power).collect();
+    let powers: Option<Vec<CoreShare>> = peers.iter().map(|peer| peer.entry.cpu_share).collect();
     powers?.into_iter().min().map(|power| OwnerGroup { count: peers.len(), power })
 }
 
@@ -181,7 +181,7 @@
     /// The nodes of a failure domain that may be given work: its owners, or others while none of
     /// them can be reached. Where the route has homes, none outside them: with the work goes the body.
     fn usable_peers(&self, domain: &FailureDomain) -> Vec<Arc<PeerNode>> {
-        if !self.homes.allow(self.router.cluster.place().region(domain)) {
+        if !self.homes.allows(self.router.cluster.place().region(domain)) {
             return Vec::new();
         }
         let now = self.now();
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use streamfold_model::{FailureDomain, NodeId, Priority, RouteTarget, ServiceName, ShardFold};
+use streamfold_model::{FailureDomain, GatherSpec, NodeId, Priority, RouteTarget, ServiceName};
 use streamfold_policy::come_back::TurnReason;
 use streamfold_policy::entry_gate::{EntryAsk, EntryGate, EntryRule, EntryStep};
 use streamfold_policy::server_outlook::{ShardOutlook, expect_answers};
@@ -75,7 +75,7 @@
 /// # Errors
 /// It is turned away and has reached no server.
 pub(crate) fn check(context: &AttemptContext) -> Result<(), RefusalKind> {
-    let RouteTarget::All(fold) = &context.route.target else { return Ok(()) };
+    let RouteTarget::Gather(fold) = &context.route.target else { return Ok(()) };
     if !is_used(context, fold) {
         return Ok(());
     }
@@ -108,13 +108,13 @@
 }
 
 /// Whether requests of a route are turned away at all: only where others at its shards are more or less urgent.
-fn is_used(context: &AttemptContext, fold: &ShardFold) -> bool {
+fn is_used(context: &AttemptContext, fold: &GatherSpec) -> bool {
     let is_mixed = fold.shards.iter().any(|shard| context.view.mixed.contains(shard));
     is_mixed && context.router.settings.scheduling.by_priority && context.router.has(Mechanism::EntryGate)
 }
 
 /// When enough shards of a request are expected to have answered.
-fn expect(context: &AttemptContext, fold: &ShardFold, now: Moment, left: Duration) -> Option<Duration> {
+fn expect(context: &AttemptContext, fold: &GatherSpec, now: Moment, left: Duration) -> Option<Duration> {
     let outlooks: Vec<ShardOutlook> = fold.shards.iter().map(|shard| foresee(context, shard, now, left)).collect();
     expect_answers(&outlooks, fold_rule(context, fold).least_answers())
 }
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -12,7 +12,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
-use streamfold_link::socket::watch_peer;
+use streamfold_link::socket::set_tcp_options;
 use streamfold_model::{RouteSpec, RouteTable, RouteTarget, TeamSpec};
 use streamfold_policy::caller_way::find_begin;
 use streamfold_policy::come_back::TurnReason;
@@ -69,7 +69,7 @@
 async fn serve_connection(router: Arc<Router>, stream: TcpStream) {
     let _count = LiveCount::of_counted(&router.connections);
     let accepted = router.clock.now();
-    if let Err(error) = watch_peer(&stream) {
+    if let Err(error) = set_tcp_options(&stream) {
         tracing::debug!(event = "connection_options_failed", %error);
         return;
     }
@@ -174,18 +174,21 @@
     let team = take_team(router, &routed, &head, &mut parts.headers)?;
     let body = read_body(body, routed.body_limit).await?;
     let times = routed.view.times.get(&routed.route.name).cloned().unwrap_or_default();
-    let is_lone = matches!(routed.route.target, RouteTarget::One(_));
+    let is_lone = matches!(routed.route.target, RouteTarget::Split(_));
     let request = CallerRequest::new(head, parts, body, arrival, routed.route.timeout, is_lone);
     // A request that one server must take is refused early, so that its caller can come back.
     let retry_within = match routed.route.target {
-        RouteTarget::All(_) => routed.route.target_latency,
-        RouteTarget::One(_) => routed.route.target_latency.mul_f64(EARLY_SHARE),
+        RouteTarget::Gather(_) => routed.route.target_latency,
+        RouteTarget::Split(_) => routed.route.target_latency.mul_f64(EARLY_SHARE),
     };
     let canary = if is_lone { CanaryCall::default() } else { CanaryCall::over_shards() };
     Ok(AttemptContext {
         retry_until: arrival.begun.plus(retry_within),
         router: router.clone(),
-        homes: team.as_ref().map_or_else(|| routed.route.homes.clone(), |team| routed.route.homes.within(&team.homes)),
+        homes: team.as_ref().map_or_else(
+            || routed.route.allowed_regions.clone(),
+            |team| routed.route.allowed_regions.intersect(&team.allowed_regions),
+        ),
         priority: team.as_ref().and_then(|team| team.priority).unwrap_or(routed.route.priority),
         team,
         view: routed.view,
@@ -293,7 +296,7 @@
 
 async fn serve_admitted(context: &AttemptContext, record: &mut RequestRecord<'_>) -> Result<CallerAnswer, RefusalKind> {
     match &context.route.target {
-        RouteTarget::All(fold) => {
+        RouteTarget::Gather(fold) => {
             let end = gather::run(context, fold).await;
             record.coverage = Some(RequestCoverage {
                 answered: end.answered,
@@ -304,7 +307,7 @@
             });
             end.result
         }
-        RouteTarget::One(parts) => match single::choose_service(parts, find_turns(context)) {
+        RouteTarget::Split(parts) => match single::choose_service(parts, find_turns(context)) {
             Some(service) => single::run(context, service).await,
             None => Err(RefusalKind::NoRoute),
         },
--- a/crates/router/src/gather.rs
+++ b/crates/router/src/gather.rs
@@ -8,7 +8,7 @@
 use futures_util::stream::StreamExt;
 use http::{HeaderValue, Response};
 use http_body_util::Full;
-use streamfold_model::{ServiceName, ShardFold};
+use streamfold_model::{GatherSpec, ServiceName};
 use streamfold_policy::Moment;
 use streamfold_policy::answer_margin::answer_margin;
 use streamfold_policy::canary::RequestFate;
@@ -80,7 +80,7 @@
 }
 
 /// When a request over shards is answered.
-pub(crate) fn fold_rule(context: &AttemptContext, fold: &ShardFold) -> FoldRule {
+pub(crate) fn fold_rule(context: &AttemptContext, fold: &GatherSpec) -> FoldRule {
     let margin = answer_margin(fold.shards.len(), context.router.settings.power());
     FoldRule {
         target: context.route.target_latency.saturating_sub(margin),
@@ -91,7 +91,7 @@
 }
 
 /// Asks every shard and folds the answers.
-pub async fn run(context: &AttemptContext, fold: &ShardFold) -> GatherEnd {
+pub async fn run(context: &AttemptContext, fold: &GatherSpec) -> GatherEnd {
     let mut round = GatherRound::new(context, fold, fold_rule(context, fold));
     let step = if round.is_reachable() {
         round.delegate();
@@ -116,7 +116,7 @@
 }
 
 impl<'a> GatherRound<'a> {
-    pub(crate) fn new(context: &'a AttemptContext, fold: &ShardFold, rule: FoldRule) -> Self {
+    pub(crate) fn new(context: &'a AttemptContext, fold: &GatherSpec, rule: FoldRule) -> Self {
         Self {
             context,
             slots: fold.shards.iter().cloned().map(ShardSlot::new).collect(),
--- a/crates/router/src/peer_gather.rs
+++ b/crates/router/src/peer_gather.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use streamfold_model::ShardFold;
+use streamfold_model::GatherSpec;
 use streamfold_policy::fold_rule::FoldRule;
 use streamfold_policy::server_bound::ServerRights;
 
@@ -21,7 +21,7 @@
 
 impl<'a> PeerGather<'a> {
     /// Starts to ask the shards.
-    pub fn start(context: &'a AttemptContext, fold: &ShardFold, batch: &ShardBatch, reply_within: Duration) -> Self {
+    pub fn start(context: &'a AttemptContext, fold: &GatherSpec, batch: &ShardBatch, reply_within: Duration) -> Self {
         let limit = context.request.deadline.since(context.request.started);
         let rule = FoldRule { target: reply_within.min(limit), limit, min_coverage: 0.0, shards: fold.shards.len() };
         let mut round = GatherRound::new(context, fold, rule);
--- a/crates/router/src/peer_service.rs
+++ b/crates/router/src/peer_service.rs
@@ -11,7 +11,7 @@
 use http::{Request, Response, StatusCode};
 use streamfold_link::server::{self, PeerService};
 use streamfold_link::{PeerError, encode_frame, read_message, refuse, reply, send_frame};
-use streamfold_model::{RouteKind, RouteSpec, RouteTarget, ShardFold, TeamSpec};
+use streamfold_model::{GatherSpec, RouteKind, RouteSpec, RouteTarget, TeamSpec};
 use streamfold_policy::Moment;
 use tokio::net::TcpListener;
 
@@ -61,11 +61,11 @@
         }
     }
 
-    fn note_malformed(&self, _path: &str) {
+    fn record_malformed(&self, _path: &str) {
         metrics::counter!("streamfold_bad_peer_messages_total").increment(1);
     }
 
-    fn first_message_within(&self) -> Duration {
+    fn first_message_timeout(&self) -> Duration {
         FIRST_MESSAGE_WITHIN
     }
 }
@@ -110,7 +110,7 @@
     let alive_within = Duration::from_micros(batch.alive_within_us);
     let reply_within = Duration::from_micros(batch.reply_within_us);
     let mut stream = respond.send_response(Response::new(()), false)?;
-    let RouteTarget::All(fold) = &context.route.target else { return Err(PeerError::BadStatus(400)) };
+    let RouteTarget::Gather(fold) = &context.route.target else { return Err(PeerError::BadStatus(400)) };
     let mut gather = PeerGather::start(&context, fold, &batch, reply_within);
     let alive = tokio::time::sleep(alive_within);
     tokio::pin!(alive);
@@ -193,7 +193,7 @@
 
 /// The team of a batch, by the routes in force here.
 fn find_team(view: &ClusterView, batch: &ShardBatch) -> Option<Arc<TeamSpec>> {
-    view.table.as_ref()?.teams()?.find_name(batch.team.as_ref()?).cloned()
+    view.table.as_ref()?.teams()?.find_by_name(batch.team.as_ref()?).cloned()
 }
 
 /// The batch as a request of its own, over just its shards.
@@ -214,7 +214,7 @@
     let view = router.cluster.view();
     let times = view.times.get(&batch.route).cloned().unwrap_or_default();
     let shards = batch.shards.iter().map(|shard| shard.service.clone()).collect();
-    let fold = ShardFold { shards, top: batch.top, min_coverage: 0.0 };
+    let fold = GatherSpec { shards, top: batch.top, min_coverage: 0.0 };
     let route = RouteSpec {
         name: batch.route.clone(),
         host: String::new(),
@@ -224,9 +224,9 @@
         target_latency: Duration::from_micros(batch.target_us),
         max_attempts: batch.max_attempts,
         priority: batch.priority,
-        homes: batch.homes.clone(),
-        is_open: true,
-        target: RouteTarget::All(fold),
+        allowed_regions: batch.homes.clone(),
+        is_auth_exempt: true,
+        target: RouteTarget::Gather(fold),
     };
     let (asker, request_share) = match batch.mode {
         BatchMode::Folded => (RequestAsker::Node, 1.0 - ASKING_SHARE),
@@ -240,7 +240,7 @@
         priority: batch.priority,
         team: find_team(&view, batch),
         view,
-        homes: route.homes.clone(),
+        homes: route.allowed_regions.clone(),
         route: Arc::new(route),
         request: Arc::new(request),
         times,
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -75,7 +75,7 @@
         for peer in view.peers.iter().filter(|peer| !peer.link.is_open()) {
             let (peer, clock) = (peer.clone(), router.clock);
             tokio::spawn(async move {
-                if peer.link.connect_now().await.is_ok() {
+                if peer.link.ensure_connected().await.is_ok() {
                     peer.domain.note_heard(clock.now());
                     tracing::info!(event = "peer_connected", peer = %peer.entry.node, address = %peer.entry.peer_address);
                 }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -195,7 +195,7 @@
             incarnation: self.incarnation,
             domain: self.settings.failure_domain.clone(),
             peer_address: self.settings.peers,
-            power: self.settings.power(),
+            cpu_share: self.settings.power(),
         }
     }
 
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use streamfold_model::{FailureDomain, HomeRegions, ServerEntry, ServerId, ServerRun, ServerStart, ServiceName};
+use streamfold_model::{AllowedRegions, FailureDomain, ServerEntry, ServerId, ServerRun, ServerStart, ServiceName};
 use streamfold_policy::cold_limit::ColdCalls;
 use streamfold_policy::crash_book::CrashSuspect;
 use streamfold_policy::recent_work::RecentWork;
@@ -213,7 +213,7 @@
     }
 
     /// What keeps requests with these homes from it, if anything does.
-    pub fn find_bar(&self, now: Moment, homes: &HomeRegions) -> Option<ServerBar> {
+    pub fn find_bar(&self, now: Moment, homes: &AllowedRegions) -> Option<ServerBar> {
         let standing = ServerStanding {
             is_leaving: self.is_leaving(),
             is_evacuated: self.domain_state.is_evacuated(),
--- a/crates/router/src/usage.rs
+++ b/crates/router/src/usage.rs
@@ -180,7 +180,7 @@
 
 /// A team by the routes in force.
 fn find_team<'a>(view: &'a ClusterView, team: &TeamName) -> Option<&'a TeamSpec> {
-    view.table.as_ref()?.teams()?.find_name(team).map(|found| &**found)
+    view.table.as_ref()?.teams()?.find_by_name(team).map(|found| &**found)
 }
 
 /// A team's limit by the routes in force.
--- a/crates/router/tests/cluster.rs
+++ b/crates/router/tests/cluster.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use streamfold_model::{
-    CallerLimits, CoreShare, HomeRegions, Incarnation, NodeEntry, Priority, RouteKind, RouteSpec, RouteTable,
-    RouteTarget, ServerEntry, ServerStart, ServiceName, ShardFold, TableVersion, WeightedService,
+    AllowedRegions, CallerLimits, CoreShare, GatherSpec, Incarnation, NodeEntry, Priority, RouteKind, RouteSpec,
+    RouteTable, RouteTarget, ServerEntry, ServerStart, ServiceName, TableVersion, WeightedService,
 };
 use streamfold_policy::{MechanismSet, Moment};
 use streamfold_router::border::{FeedChange, FeedItem, FeedTopic};
@@ -19,7 +19,7 @@
         incarnation: Incarnation(incarnation),
         domain: "zone-a".parse().expect("a failure domain"),
         peer_address: "127.0.0.1:7380".parse().expect("an address"),
-        power: None,
+        cpu_share: None,
     }
 }
 
@@ -58,7 +58,7 @@
 /// An entry of a node in a failure domain, with its processor.
 fn sized(name: &str, domain: &str, thousandths: u32) -> NodeEntry {
     let domain = domain.parse().expect("a failure domain");
-    NodeEntry { domain, power: Some(CoreShare(thousandths)), ..entry(name, 1) }
+    NodeEntry { domain, cpu_share: Some(CoreShare(thousandths)), ..entry(name, 1) }
 }
 
 /// A route to a target.
@@ -72,8 +72,8 @@
         target_latency: Duration::from_millis(100),
         max_attempts: 2,
         priority: Priority(0),
-        homes: HomeRegions::Everywhere,
-        is_open: false,
+        allowed_regions: AllowedRegions::Any,
+        is_auth_exempt: false,
         target,
     }
 }
@@ -81,9 +81,9 @@
 /// Puts a route to a shard and one to a lone service in force, both with a server in a failure domain.
 fn tell_services(cluster: &Cluster, domain: &str) {
     let name = |name: &str| -> ServiceName { name.parse().expect("a name") };
-    let fold = ShardFold { shards: vec![name("shard")], top: 5, min_coverage: 0.5 };
+    let fold = GatherSpec { shards: vec![name("shard")], top: 5, min_coverage: 0.5 };
     let lone = WeightedService { service: name("lone"), weight: 1.0 };
-    let routes = vec![route("all", RouteTarget::All(fold)), route("one", RouteTarget::One(vec![lone]))];
+    let routes = vec![route("all", RouteTarget::Gather(fold)), route("one", RouteTarget::Split(vec![lone]))];
     let limits = CallerLimits {
         header_bytes: 1,
         body_bytes: 1,
--- a/crates/router/tests/late_routes.rs
+++ b/crates/router/tests/late_routes.rs
@@ -44,9 +44,9 @@
     }
 }
 
-fn entry(name: &str, peer_address: SocketAddr, power: Option<CoreShare>) -> NodeEntry {
+fn entry(name: &str, peer_address: SocketAddr, cpu_share: Option<CoreShare>) -> NodeEntry {
     let domain = "zone-a".parse().expect("a failure domain");
-    NodeEntry { node: name.parse().expect("a name"), incarnation: Incarnation(1), domain, peer_address, power }
+    NodeEntry { node: name.parse().expect("a name"), incarnation: Incarnation(1), domain, peer_address, cpu_share }
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/router/tests/measured_pace.rs
+++ b/crates/router/tests/measured_pace.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use streamfold_model::{
-    CallerLimits, FailureDomain, HomeRegions, Priority, RouteKind, RouteSpec, RouteTable, RouteTarget, ServerEntry,
-    ServerRun, ServerStart, ServiceName, ShardFold, TableVersion, WeightedService,
+    AllowedRegions, CallerLimits, FailureDomain, GatherSpec, Priority, RouteKind, RouteSpec, RouteTable, RouteTarget,
+    ServerEntry, ServerRun, ServerStart, ServiceName, TableVersion, WeightedService,
 };
 use streamfold_policy::replica::CallSample;
 use streamfold_policy::{Mechanism, MechanismSet, Moment};
@@ -30,7 +30,7 @@
 
 /// A route to the service, as a shard or alone.
 fn make_table(is_shard: bool) -> RouteTable {
-    let fold = ShardFold { shards: vec![name()], top: 5, min_coverage: 0.5 };
+    let fold = GatherSpec { shards: vec![name()], top: 5, min_coverage: 0.5 };
     let lone = WeightedService { service: name(), weight: 1.0 };
     let route = RouteSpec {
         name: "route".parse().expect("a name"),
@@ -41,9 +41,9 @@
         target_latency: Duration::from_millis(100),
         max_attempts: 2,
         priority: Priority(0),
-        homes: HomeRegions::Everywhere,
-        is_open: false,
-        target: if is_shard { RouteTarget::All(fold) } else { RouteTarget::One(vec![lone]) },
+        allowed_regions: AllowedRegions::Any,
+        is_auth_exempt: false,
+        target: if is_shard { RouteTarget::Gather(fold) } else { RouteTarget::Split(vec![lone]) },
     };
     let limits = CallerLimits {
         header_bytes: 1,
@@ -89,7 +89,7 @@
 
 fn servers(cluster: &Cluster, now: Moment) -> Vec<Arc<Server>> {
     let view = cluster.view();
-    view.services[&name()].usable(now, &HomeRegions::Everywhere).cloned().collect()
+    view.services[&name()].usable(now, &AllowedRegions::Any).cloned().collect()
 }
 
 fn find(cluster: &Cluster, id: &str) -> Arc<Server> {
