--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -49,7 +49,7 @@
 impl OwnerGroup {
     /// The number of batches for `shards` shards and a target latency of `target`.
     pub fn count_batches(&self, shards: usize, target: Duration) -> usize {
-        let call = self.power.stretch(CALL_CPU_TIME).as_secs_f64();
+        let call = self.power.time_for(CALL_CPU_TIME).as_secs_f64();
         let most = (target.as_secs_f64() * BATCH_LATENCY_SHARE / call).max(1.0);
         let batches = (shards as f64 / most).ceil() as usize;
         batches.clamp(1, self.count.max(1))
@@ -59,9 +59,9 @@
     pub fn is_delegation_faster(&self, shards: usize, target: Duration, own: CoreShare) -> bool {
         let batches = self.count_batches(shards, target) as u32;
         let largest = (shards as u32).div_ceil(batches);
-        let local = own.stretch(CALL_CPU_TIME * shards as u32);
-        let sending = own.stretch(BATCH_CPU_TIME * batches);
-        let delegated = sending + self.power.stretch(batch_cpu_time(largest as usize));
+        let local = own.time_for(CALL_CPU_TIME * shards as u32);
+        let sending = own.time_for(BATCH_CPU_TIME * batches);
+        let delegated = sending + self.power.time_for(batch_cpu_time(largest as usize));
         self.count > 0 && delegated < local.mul_f64(DELEGATION_THRESHOLD)
     }
 }
--- a/crates/policy/src/server_exclusion.rs
+++ b/crates/policy/src/server_exclusion.rs
@@ -7,7 +7,7 @@
 
 use std::fmt;
 
-use streamfold_model::{HomeRegions, RegionName};
+use streamfold_model::{AllowedRegions, RegionName};
 
 /// Why a server gets no new request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -52,14 +52,14 @@
 }
 
 /// What keeps requests with these homes from a server, if anything does.
-pub fn find_exclusion(homes: &HomeRegions, standing: ServerConditions<'_>) -> Option<ServerExclusion> {
+pub fn find_exclusion(homes: &AllowedRegions, standing: ServerConditions<'_>) -> Option<ServerExclusion> {
     if standing.is_leaving {
         return Some(ServerExclusion::Leaving);
     }
     if standing.is_evacuated {
         return Some(ServerExclusion::Evacuated);
     }
-    if !homes.allow(standing.region) {
+    if !homes.allows(standing.region) {
         return Some(ServerExclusion::OutsideHomes);
     }
     if standing.is_unreachable {
--- a/crates/router/src/attempt_context.rs
+++ b/crates/router/src/attempt_context.rs
@@ -7,7 +7,7 @@
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
 use futures_util::stream::FuturesUnordered;
-use streamfold_model::{FailureDomain, HomeRegions, Priority, RouteKind, RouteSpec, ServerId, ServiceName, TeamSpec};
+use streamfold_model::{FailureDomain, AllowedRegions, Priority, RouteKind, RouteSpec, ServerId, ServiceName, TeamSpec};
 use streamfold_policy::canary::{CallPermission, RequestVerdict};
 use streamfold_policy::crash_tracker::ContentStatus;
 use streamfold_policy::replica::Distance;
@@ -61,7 +61,7 @@
     /// The request.
     pub request: Arc<CallerRequest>,
     /// Where it may be served: by its route, and by its team.
-    pub homes: HomeRegions,
+    pub homes: AllowedRegions,
     /// The team that it is of, where callers have keys.
     pub team: Option<Arc<TeamSpec>>,
     /// Its rank among requests for the same servers.
