--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -10,8 +10,8 @@
 use streamfold_model::{CallerName, ConfigBundle, ConfigVersion, Incarnation};
 use streamfold_platform::PlatformClient;
 use streamfold_policy::{
-    AdaptiveRules, AdmissionControl, AttemptRules, BaselineRules, LatencyHistogram, MemberEntry, MemberState, MemberTable,
-    MemberTimes, TokenBucket, TokenBudget,
+    AdaptiveRules, AdmissionControl, AttemptRules, BaselineRules, LatencyHistogram, MemberEntry, MemberState,
+    MemberTable, MemberTimes, TokenBucket, TokenBudget,
 };
 use streamfold_store::{ConfigStore, ObjectStore, RequestClaims, VmList};
 use tokio::sync::{Notify, oneshot, watch};
--- a/crates/policy/src/replica.rs
+++ b/crates/policy/src/replica.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use crate::mechanism::{Mechanism, MechanismSet};
-use crate::moment::Moment;
-use crate::reported_pace::{ReportedPace, SlowPeriodSample};
 use crate::finish_estimate::{FinishEstimator, ServerEstimate};
 use crate::inflight_limit::{PeerLoad, inflight_limit};
+use crate::mechanism::{Mechanism, MechanismSet};
+use crate::moment::Moment;
 use crate::pace_estimate::{PaceEstimate, WorkSample};
+use crate::reported_pace::{ReportedPace, SlowPeriodSample};
 
 /// What is remembered of refusals and failures fades by half in this time without a new call.
 const REFUSAL_HALF_LIFE: Duration = Duration::from_secs(2);
@@ -275,7 +275,13 @@
     }
 
     /// Learns from how long a call took that ended; what became of the slow spell that was known of.
-    fn measure(&mut self, now: Moment, call: OpenCall, sample: CallSample, spell: Duration) -> Option<SlowPeriodSample> {
+    fn measure(
+        &mut self,
+        now: Moment,
+        call: OpenCall,
+        sample: CallSample,
+        spell: Duration,
+    ) -> Option<SlowPeriodSample> {
         let usual = call.usual.filter(|usual| !usual.is_zero())?;
         let ratio = now.since(call.started).as_secs_f64() / usual.as_secs_f64();
         let work = WorkSample { started: call.started, ratio, has_waited: call.has_waited };
--- a/crates/policy/tests/pace_estimate.rs
+++ b/crates/policy/tests/pace_estimate.rs
@@ -8,8 +8,8 @@
 use quickcheck::quickcheck;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use streamfold_policy::replica::{CallSample, Distance, ReplicaState};
 use streamfold_policy::pace_estimate::{PaceEstimate, WorkSample};
+use streamfold_policy::replica::{CallSample, Distance, ReplicaState};
 use streamfold_policy::{Mechanism, MechanismSet, Moment};
 
 const SPELL: Duration = Duration::from_secs(1);
--- a/crates/policy/tests/reported_pace.rs
+++ b/crates/policy/tests/reported_pace.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use streamfold_policy::reported_pace::{ReportedPace, SlowPeriodStats, SlowPeriodSample};
 use streamfold_policy::replica::{Distance, ReplicaState};
+use streamfold_policy::reported_pace::{ReportedPace, SlowPeriodSample, SlowPeriodStats};
 use streamfold_policy::{Mechanism, MechanismSet, Moment};
 
 const TYPICAL: Duration = Duration::from_millis(10);
--- a/crates/policy/tests/reservation_table.rs
+++ b/crates/policy/tests/reservation_table.rs
@@ -8,8 +8,8 @@
 use quickcheck::quickcheck;
 use streamfold_model::{ContentId, TeamName, UsageLimit};
 use streamfold_policy::Moment;
-use streamfold_policy::retry_after::{RefusalReason, choose_retry_after, usable_wait};
 use streamfold_policy::reservation_table::{ReservationOffer, ReservationRequest, ReservationTable};
+use streamfold_policy::retry_after::{RefusalReason, choose_retry_after, usable_wait};
 use streamfold_policy::usage_credit::{CreditAnswer, CreditPools, DomainCredits, UsageAllowance};
 
 /// The bound: in any window a team's rate and burst, a tenth more, and twenty requests.
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -14,8 +14,9 @@
 use streamfold_policy::owner::{choose_owners, connection_share};
 use streamfold_policy::pin::choose_version;
 use streamfold_policy::{
-    AdaptiveRules, Admission, AdmissionControl, AdmissionRequest, CallReport, HeldVersions, LatencyHistogram, MemberEntry,
-    MemberState, MemberTable, MemberTimes, Moment, QueueSubmission, ServerState, UpstreamQueue, WorkItem, WorkReport,
+    AdaptiveRules, Admission, AdmissionControl, AdmissionRequest, CallReport, HeldVersions, LatencyHistogram,
+    MemberEntry, MemberState, MemberTable, MemberTimes, Moment, QueueSubmission, ServerState, UpstreamQueue, WorkItem,
+    WorkReport,
 };
 
 fn item(deadline: u64) -> WorkItem {
--- a/crates/policy/tests/server_exclusion.rs
+++ b/crates/policy/tests/server_exclusion.rs
@@ -18,10 +18,13 @@
     let mut seen = Vec::new();
     for (name, homes) in &scopes {
         for bits in 0..16 {
-            let [is_leaving, is_evacuated, is_unreachable, is_cold_limit_reached] = [1, 2, 4, 8].map(|bit| bits & bit != 0);
+            let [is_leaving, is_evacuated, is_unreachable, is_cold_limit_reached] =
+                [1, 2, 4, 8].map(|bit| bits & bit != 0);
             for region in [None, Some(&here)] {
-                let bar =
-                    find_exclusion(homes, ServerConditions { is_leaving, is_evacuated, is_unreachable, is_cold_limit_reached, region });
+                let bar = find_exclusion(
+                    homes,
+                    ServerConditions { is_leaving, is_evacuated, is_unreachable, is_cold_limit_reached, region },
+                );
                 let bar = bar.map_or("none".to_owned(), |bar| bar.to_string());
                 let region = region.map_or("unknown", |_| "here");
                 seen.push(format!(
--- a/crates/router/src/attempt_context.rs
+++ b/crates/router/src/attempt_context.rs
@@ -7,7 +7,9 @@
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
 use futures_util::stream::FuturesUnordered;
-use streamfold_model::{FailureDomain, AllowedRegions, Priority, RouteKind, RouteSpec, ServerId, ServiceName, TeamSpec};
+use streamfold_model::{
+    AllowedRegions, FailureDomain, Priority, RouteKind, RouteSpec, ServerId, ServiceName, TeamSpec,
+};
 use streamfold_policy::canary::{CallPermission, RequestVerdict};
 use streamfold_policy::crash_tracker::ContentStatus;
 use streamfold_policy::replica::Distance;
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -4,10 +4,10 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use streamfold_model::{FailureDomain, NodeId, Priority, RouteTarget, ServiceName, GatherSpec};
-use streamfold_policy::come_back::RefusalReason;
+use streamfold_model::{FailureDomain, GatherSpec, NodeId, Priority, RouteTarget, ServiceName};
 use streamfold_policy::entry_gate::{EntryDecision, EntryGate, EntryRequest, EntryRule};
 use streamfold_policy::finish_estimate::{ShardEstimate, estimate_answers};
+use streamfold_policy::retry_after::RefusalReason;
 use streamfold_policy::wait_tracker::{MedianWait, WaitTracker};
 use streamfold_policy::{Mechanism, Moment};
 
--- a/crates/router/src/gather.rs
+++ b/crates/router/src/gather.rs
@@ -14,6 +14,7 @@
 use streamfold_policy::canary::RequestVerdict;
 use streamfold_policy::fold_rule::{FoldRule, FoldStep};
 use streamfold_policy::late_timer::TimerWatch;
+use streamfold_policy::retry_after::RefusalReason;
 use tokio::time::Sleep;
 
 use crate::answer::{CallerAnswer, RefusalKind};
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -224,7 +224,7 @@
         neighbours.push(router.own_entry());
     }
     let nodes: Vec<ReaderCandidate> =
-        neighbours.iter().map(|entry| ReaderCandidate { name: entry.node.as_str(), power: entry.power }).collect();
+        neighbours.iter().map(|entry| ReaderCandidate { name: entry.node.as_str(), power: entry.cpu_share }).collect();
     let choice = choose_readers(place.node.as_str(), place.domain.as_str(), &nodes);
     router.store_turn.set_rank(choice.rank);
     let find = |name: &str| neighbours.iter().find(|entry| entry.node.as_str() == name).cloned();
--- a/crates/router/src/single.rs
+++ b/crates/router/src/single.rs
@@ -7,8 +7,8 @@
 use http::{HeaderMap, Response};
 use http_body_util::Full;
 use streamfold_model::{ServiceName, WeightedService};
-use streamfold_policy::late_alarm::RefusalReason;
 use streamfold_policy::late_timer::TimerWatch;
+use streamfold_policy::retry_after::RefusalReason;
 use streamfold_policy::split_rule::{SplitSelector, choose_part};
 
 use crate::answer::{CallerAnswer, RefusalKind};
--- a/crates/router/src/usage.rs
+++ b/crates/router/src/usage.rs
@@ -8,8 +8,8 @@
 use bincode::{Decode, Encode};
 use streamfold_link::PeerLink;
 use streamfold_model::{ContentId, NodeEntry, NodeId, TeamName, TeamSpec, UsageLimit};
-use streamfold_policy::retry_after::{RefusalReason, usable_wait};
 use streamfold_policy::reservation_table::{ReservationCounts, ReservationOffer, ReservationRequest};
+use streamfold_policy::retry_after::{RefusalReason, usable_wait};
 use streamfold_policy::usage_credit::{CreditAnswer, CreditPools, DomainCredits, PoolGrant, UsageAllowance};
 use streamfold_policy::{Mechanism, Moment};
 
