--- a/crates/policy/src/canary.rs
+++ b/crates/policy/src/canary.rs
@@ -79,7 +79,7 @@
     Lost,
 }
 
-/// One request's record of its own calls, from which its right to send further calls follows.
+/// One request's record of its own calls, which decides whether it may send further calls.
 #[derive(Debug, Default)]
 pub struct CanaryRecord {
     /// Whether this is the single request among all nodes that tries a quarantined content.
--- a/crates/policy/src/crash_tracker.rs
+++ b/crates/policy/src/crash_tracker.rs
@@ -164,7 +164,7 @@
     }
 
     /// Quarantines a content immediately because it was found to have crashed its servers. Returns the entry to
-    /// broadcast to all nodes, or `None` if the content is already quarantined.
+    /// publish to all nodes, or `None` if the content is already quarantined.
     pub fn quarantine(&mut self, now: Moment, content: ContentId) -> Option<CrashEntry> {
         let crashed: Vec<ServerRun> = self.crashed(content).into_iter().take(MAX_SERVERS).collect();
         let record = self.records.get_mut(&content).filter(|record| record.quarantined_since.is_none())?;
--- a/crates/policy/src/reader_choice.rs
+++ b/crates/policy/src/reader_choice.rs
@@ -1,5 +1,6 @@
-//! Selects the nodes of a failure domain that read updates from the platform's store (readers) and the nodes that
-//! follow them, so that the store load grows with the number of failure domains and not of nodes.
+//! Selects the readers that a node may follow, which forward the updates of the platform's store to it. In a failure
+//! domain with enough nodes only one of them reads the store, so the store load grows with the number of failure
+//! domains and not of nodes.
 //!
 //! The load pattern is hundreds of nodes that lose their readers or restart within a third of a second, while
 //! the store rejects some of them.
--- a/crates/policy/tests/crash_tracker.rs
+++ b/crates/policy/tests/crash_tracker.rs
@@ -47,17 +47,17 @@
     assert!(tracker.note_crash(at(400), CONTENT, &server(9)), "a decision is necessary");
     assert!(!tracker.note_crash(at(400), CONTENT, &server(10)), "a decision is pending");
     assert_eq!(tracker.status(at(400), CONTENT), ContentStatus::Suspect);
-    let reported = tracker.decide(at(400).plus(DECISION_DELAY), OVER_SHARDS).expect("an entry");
-    assert_eq!(reported.crashed.len(), MIN_CRASHES + 1);
+    let published = tracker.decide(at(400).plus(DECISION_DELAY), OVER_SHARDS).expect("an entry");
+    assert_eq!(published.crashed.len(), MIN_CRASHES + 1);
     assert!(matches!(tracker.status(at(800), CONTENT), ContentStatus::Quarantined { .. }));
     assert_eq!(tracker.status(at(800), ContentId(8)), ContentStatus::Clear);
 }
 
 #[test]
-fn a_crash_of_a_request_to_one_service_is_broadcast_from_the_first_on() {
+fn crashes_of_a_request_to_one_service_are_published_from_the_first_on() {
     let mut tracker = crashed(1, at(0));
-    let reported = tracker.decide(at(300), CrashSuspect { content: CONTENT, is_single_service: true });
-    assert_eq!(reported.map(|entry| entry.crashed.len()), Some(1));
+    let published = tracker.decide(at(300), CrashSuspect { content: CONTENT, is_single_service: true });
+    assert_eq!(published.map(|entry| entry.crashed.len()), Some(1));
     assert_eq!(tracker.status(at(300), CONTENT), ContentStatus::Clear);
     tracker.put_shared(at(400), entry(MIN_CRASHES, 0));
     assert!(matches!(tracker.status(at(400), CONTENT), ContentStatus::Quarantined { .. }));
@@ -290,7 +290,7 @@
 /// quarantined contents.
 #[test]
 fn crashes_of_a_quarantined_content_do_not_count_against_other_contents() {
-    let (beside, reported) = (ContentId(8), ContentId(9));
+    let (beside, unproven) = (ContentId(8), ContentId(9));
     let mut tracker = crashed(MIN_CRASHES + 1, at(0));
     (0..MIN_CRASHES).for_each(|number| {
         tracker.note_crash(at(1), beside, &server(number));
@@ -309,7 +309,7 @@
     assert!(other.put_quarantined(at(2), &quarantined) && !other.put_quarantined(at(3), &quarantined), "new only once");
     assert!(matches!(other.status(at(3), CONTENT), ContentStatus::Quarantined { .. }));
     assert!(
-        !other.put_quarantined(at(3), &CrashEntry { content: reported, ..entry(MIN_CRASHES - 1, 0) }),
+        !other.put_quarantined(at(3), &CrashEntry { content: unproven, ..entry(MIN_CRASHES - 1, 0) }),
         "too few crashes"
     );
 }
