--- a/crates/link/src/error.rs
+++ b/crates/link/src/error.rs
@@ -1,15 +1,15 @@
 //! Errors of links between nodes.
 
-/// Why a message between nodes could not be read or sent. It closes that link alone.
+/// Error of sending or receiving a message between nodes. Only the affected link is closed.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerError {
-    /// No connection to the node.
+    /// There is no connection and none could be made.
     #[error("no connection to the node")]
     NotConnected,
-    /// The stream failed.
+    /// The HTTP/2 stream failed.
     #[error("stream failed: {0}")]
     Stream(#[from] h2::Error),
-    /// A frame is longer than its kind may be.
+    /// A frame exceeds its length limit, or holds this many bytes after its message.
     #[error("frame of {0} bytes is over the limit")]
     FrameTooLong(usize),
     /// A frame could not be decoded.
@@ -18,25 +18,25 @@
     /// A message could not be encoded.
     #[error("message cannot be encoded: {0}")]
     Encode(#[from] bincode::error::EncodeError),
-    /// The stream ended before the message did.
+    /// The stream ended in the middle of a message, or no answer came in time.
     #[error("stream ended early")]
     EndedEarly,
-    /// The other side answered with this HTTP status.
-    #[error("status {0}")]
+    /// The other node answered with this HTTP status.
+    #[error("the node answered status {0}")]
     BadStatus(u16),
-    /// The request to be sent is malformed.
-    #[error("request: {0}")]
+    /// The HTTP request could not be built.
+    #[error("request cannot be built: {0}")]
     Request(#[from] http::Error),
 }
 
 impl PeerError {
-    /// Whether the other node refused the message unread: it stops, or has too much to do.
+    /// Whether the other node refused the message unread because it is stopping or overloaded.
     pub fn is_refused(&self) -> bool {
         matches!(self, Self::BadStatus(503))
     }
 
-    /// Whether the other node certainly did nothing with the message: it never left, a stopping
-    /// node refused it unread, or a node of another version does not know its path.
+    /// Whether the other node certainly did not process the message: it was never sent, a
+    /// stopping node refused it unread, or a node of another version does not know the path.
     pub fn is_not_sent(&self) -> bool {
         matches!(self, Self::NotConnected | Self::Encode(_) | Self::Request(_) | Self::BadStatus(404))
             || self.is_refused()
--- a/crates/link/src/frame.rs
+++ b/crates/link/src/frame.rs
@@ -1,4 +1,4 @@
-//! Messages as length-prefixed frames of bincode. Every decode is bounded.
+//! Messages as bincode in length-prefixed frames. The size of every decoded frame is limited.
 
 use bincode::config::{Configuration as BincodeConfig, Limit, LittleEndian, Varint};
 use bincode::{Decode, Encode};
@@ -7,16 +7,16 @@
 
 use crate::error::PeerError;
 
-/// The largest frame of any kind.
+/// The largest message in a frame, in bytes.
 pub const MAX_FRAME_LEN: usize = 64 << 20;
 
 const BINCODE: BincodeConfig<LittleEndian, Varint, Limit<MAX_FRAME_LEN>> =
     bincode::config::standard().with_limit::<MAX_FRAME_LEN>();
 
-/// Encodes a message as one frame.
+/// Encodes a message as one frame: its length as 4 bytes, big-endian, then the message.
 ///
 /// # Errors
-/// The message cannot be encoded, or is over [`MAX_FRAME_LEN`].
+/// The message cannot be encoded or is longer than [`MAX_FRAME_LEN`].
 pub fn encode_frame<M: Encode>(message: &M) -> Result<Bytes, PeerError> {
     let mut frame = vec![0; 4];
     let length = bincode::encode_into_std_write(message, &mut frame, BINCODE)?;
@@ -27,10 +27,10 @@
     Ok(Bytes::from(frame))
 }
 
-/// Decodes the body of one frame; bytes left over are an error.
+/// Decodes the body of one frame.
 ///
 /// # Errors
-/// The bytes are not exactly one message.
+/// The bytes cannot be decoded, or some are left over after the message.
 pub fn decode_body<M: Decode<()>>(body: &[u8]) -> Result<M, PeerError> {
     let (message, used) = bincode::decode_from_slice(body, BINCODE)?;
     if used != body.len() {
@@ -39,7 +39,7 @@
     Ok(message)
 }
 
-/// Reads frames from a stream, giving back flow-control window as it goes.
+/// Reads frames from a stream and returns flow-control window for the bytes read.
 pub struct FrameReader {
     stream: RecvStream,
     buffer: BytesMut,
@@ -47,15 +47,15 @@
 }
 
 impl FrameReader {
-    /// Frames of this stream, each at most `limit` bytes.
+    /// Creates a reader that accepts frames of at most `limit` bytes.
     pub fn new(stream: RecvStream, limit: usize) -> Self {
         Self { stream, buffer: BytesMut::new(), limit }
     }
 
-    /// The next message; `None` at a clean end.
+    /// Returns the next message, or `None` if the stream ended after a whole frame.
     ///
     /// # Errors
-    /// The stream fails or ends within a frame, or the frame is over the limit or malformed.
+    /// The stream fails or ends within a frame, or the frame exceeds the limit or is malformed.
     pub async fn next<M: Decode<()>>(&mut self) -> Result<Option<M>, PeerError> {
         loop {
             if let Some(body) = self.take_frame()? {
@@ -84,18 +84,18 @@
     }
 }
 
-/// Sends one frame, waiting for flow-control window as needed.
+/// Sends one frame and waits for flow-control window where needed; `end` also ends the stream.
 ///
 /// # Errors
-/// The stream fails or is reset by the other side.
+/// The stream fails, or the other side resets it.
 pub async fn send_frame(stream: &mut SendStream<Bytes>, mut frame: Bytes, end: bool) -> Result<(), PeerError> {
     while !frame.is_empty() {
         stream.reserve_capacity(frame.len());
-        let granted = std::future::poll_fn(|cx| stream.poll_capacity(cx)).await;
-        let granted = granted.ok_or(PeerError::EndedEarly)??;
-        let chunk = frame.split_to(granted.min(frame.len()));
-        let last = end && frame.is_empty();
-        stream.send_data(chunk, last)?;
+        let available = std::future::poll_fn(|cx| stream.poll_capacity(cx)).await;
+        let available = available.ok_or(PeerError::EndedEarly)??;
+        let chunk = frame.split_to(available.min(frame.len()));
+        let is_last = end && frame.is_empty();
+        stream.send_data(chunk, is_last)?;
     }
     Ok(())
 }
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,5 +1,4 @@
-//! Links between nodes: bincode in length-prefixed frames on `h2` streams, whatever the
-//! messages are.
+//! Transport between nodes: any bincode message in length-prefixed frames on HTTP/2 streams.
 
 pub mod error;
 pub mod frame;
--- a/crates/link/src/link.rs
+++ b/crates/link/src/link.rs
@@ -1,4 +1,4 @@
-//! The connection to another node, made when first wanted and made anew when it fails.
+//! Client side of the link to another node: connects on first use and reconnects after a failure.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,53 +18,53 @@
 use crate::frame::{FrameReader, MAX_FRAME_LEN, encode_frame, send_frame};
 use crate::socket::set_tcp_options;
 
-/// How long connecting may take.
+/// The longest time that connecting may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// After a failed connect the link counts as down for this long.
-const DOWN_FOR: Duration = Duration::from_millis(200);
-/// Calls in a row without an answer after which the connection is given up.
-const MAX_SILENT_CALLS: u32 = 2;
-/// Flow-control window of each stream and connection.
+/// After a failed connect, calls fail at once for this long before the next attempt to connect.
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
+/// Consecutive calls without an answer after which no new message is sent on the connection.
+const MAX_UNANSWERED_CALLS: u32 = 2;
+/// Flow-control window of each stream and connection, in bytes.
 pub const PEER_WINDOW_SIZE: u32 = 8 << 20;
-/// The largest HTTP/2 frame between nodes.
+/// The largest HTTP/2 frame between nodes, in bytes.
 pub const PEER_HTTP2_FRAME_SIZE: u32 = 256 << 10;
 
-/// A connection in use. A task of its own drives it until nothing more is on its way over it, also when no new
-/// message goes out on it any more.
-struct OpenLink {
-    number: u64,
+/// A connection that new messages use. A separate task drives it until its last stream ends, even after new messages
+/// have moved to another connection.
+struct OpenConnection {
+    id: u64,
     sender: SendRequest<Bytes>,
 }
 
 /// The link to one node.
 pub struct PeerLink {
     address: SocketAddr,
-    current: ArcSwapOption<OpenLink>,
-    failed: Mutex<Option<Instant>>,
-    silent: AtomicU32,
-    heard: AtomicU64,
-    connections: AtomicU64,
+    current: ArcSwapOption<OpenConnection>,
+    last_failure: Mutex<Option<Instant>>,
+    unanswered_calls: AtomicU32,
+    last_reply: AtomicU64,
+    next_id: AtomicU64,
 }
 
 impl PeerLink {
-    /// A link that is not connected yet.
+    /// Creates a link that is not connected yet.
     pub fn new(address: SocketAddr) -> Arc<Self> {
         Arc::new(Self {
             address,
             current: ArcSwapOption::empty(),
-            failed: Mutex::new(None),
-            silent: AtomicU32::new(0),
-            heard: AtomicU64::new(0),
-            connections: AtomicU64::new(0),
+            last_failure: Mutex::new(None),
+            unanswered_calls: AtomicU32::new(0),
+            last_reply: AtomicU64::new(0),
+            next_id: AtomicU64::new(0),
         })
     }
 
-    /// Where it leads.
+    /// The address of the other node.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether there is a connection now.
+    /// Whether there is a connection for new messages.
     pub fn is_open(&self) -> bool {
         self.current.load().is_some()
     }
@@ -77,35 +77,35 @@
         self.sender().await.map(|_| ())
     }
 
-    /// Notes that the node replied to something.
+    /// Records that the other node replied at this time.
     pub fn record_reply(&self, now: Moment) {
-        self.heard.fetch_max(now.0, Ordering::Relaxed);
+        self.last_reply.fetch_max(now.0, Ordering::Relaxed);
     }
 
-    /// Whether the node has replied to nothing since a moment.
-    pub fn has_no_reply_since(&self, moment: Moment) -> bool {
-        self.heard.load(Ordering::Relaxed) < moment.0
+    /// Whether no reply of the other node was recorded at or after this time.
+    pub fn has_no_reply_since(&self, since: Moment) -> bool {
+        self.last_reply.load(Ordering::Relaxed) < since.0
     }
 
     async fn sender(self: &Arc<Self>) -> Result<SendRequest<Bytes>, PeerError> {
         if let Some(open) = self.current.load().as_ref() {
             return Ok(open.sender.clone());
         }
-        let mut failed = self.failed.lock().await;
+        let mut last_failure = self.last_failure.lock().await;
         if let Some(open) = self.current.load().as_ref() {
             return Ok(open.sender.clone());
         }
-        if failed.is_some_and(|at| at.elapsed() < DOWN_FOR) {
+        if last_failure.is_some_and(|at| at.elapsed() < RECONNECT_DELAY) {
             return Err(PeerError::NotConnected);
         }
-        let connected = tokio::time::timeout(CONNECT_TIMEOUT, self.connect()).await;
-        match connected {
+        let result = tokio::time::timeout(CONNECT_TIMEOUT, self.connect()).await;
+        match result {
             Ok(Ok(sender)) => {
-                *failed = None;
+                *last_failure = None;
                 Ok(sender)
             }
             _ => {
-                *failed = Some(Instant::now());
+                *last_failure = Some(Instant::now());
                 Err(PeerError::NotConnected)
             }
         }
@@ -118,31 +118,31 @@
         builder.initial_window_size(PEER_WINDOW_SIZE).initial_connection_window_size(PEER_WINDOW_SIZE);
         builder.max_frame_size(PEER_HTTP2_FRAME_SIZE);
         let (sender, connection) = builder.handshake(stream).await?;
-        let number = self.connections.fetch_add(1, Ordering::Relaxed);
-        self.current.store(Some(Arc::new(OpenLink { number, sender: sender.clone() })));
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
+        self.current.store(Some(Arc::new(OpenConnection { id, sender: sender.clone() })));
         let link = Arc::downgrade(self);
         tokio::spawn(async move {
-            // Its error reaches every stream on it.
+            // Every stream on the connection reports its error.
             let _ = connection.await;
             if let Some(link) = link.upgrade() {
-                link.forget(number);
+                link.retire(id);
             }
         });
         Ok(sender)
     }
 
-    /// Sends nothing more on a connection; another one that was made since stays.
-    fn forget(&self, number: u64) {
+    /// Stops sending new messages on a connection, unless a newer one has replaced it already.
+    fn retire(&self, id: u64) {
         let open = self.current.load();
-        if open.as_ref().is_some_and(|open| open.number == number) {
+        if open.as_ref().is_some_and(|open| open.id == id) {
             self.current.compare_and_swap(&open, None);
         }
     }
 
-    /// Sends a message and returns the frames of the answer as they come.
+    /// Sends a message and returns a reader for the frames of the answer.
     ///
     /// # Errors
-    /// `NotConnected` if nothing was sent; any other error may come after the message arrived.
+    /// `NotConnected` if nothing was sent; after any other error the message may have arrived.
     pub async fn stream<M: Encode>(self: &Arc<Self>, path: &str, message: &M) -> Result<FrameReader, PeerError> {
         let frame = encode_frame(message)?;
         let sender = self.sender().await?;
@@ -157,33 +157,34 @@
         Ok(FrameReader::new(response.into_body(), MAX_FRAME_LEN))
     }
 
-    /// Sends a message and returns its one answer.
+    /// Sends a message and returns its single answer.
     ///
     /// # Errors
-    /// As [`Self::stream`]; an answer that does not come within `wait` is `EndedEarly`.
+    /// As [`Self::stream`]; `EndedEarly` if no answer arrives within `timeout`.
     pub async fn call<M: Encode, A: Decode<()>>(
         self: &Arc<Self>,
         path: &str,
         message: &M,
-        wait: Duration,
+        timeout: Duration,
     ) -> Result<A, PeerError> {
         let exchange = async {
             let mut reader = self.stream(path, message).await?;
             reader.next().await?.ok_or(PeerError::EndedEarly)
         };
-        match tokio::time::timeout(wait, exchange).await {
+        match tokio::time::timeout(timeout, exchange).await {
             Ok(answer) => {
-                self.silent.store(0, Ordering::Relaxed);
+                self.unanswered_calls.store(0, Ordering::Relaxed);
                 answer
             }
             Err(_) => {
-                self.note_silence();
+                self.count_unanswered();
                 Err(PeerError::EndedEarly)
             }
         }
     }
 
-    /// Sends a message and returns the first frame of its answer.
+    /// Sends a message and returns the first frame of its answer. The caller sets the timeout; a timeout does not count
+    /// as an unanswered call.
     ///
     /// # Errors
     /// As [`Self::stream`].
@@ -196,13 +197,15 @@
         reader.next().await?.ok_or(PeerError::EndedEarly)
     }
 
-    /// A link that is cut without a word would wait for the network's own long time-outs, so
-    /// it is made anew. What is on its way goes on: where the other node is only late, closing the connection loses it.
-    fn note_silence(&self) {
-        if self.silent.fetch_add(1, Ordering::Relaxed) + 1 >= MAX_SILENT_CALLS {
-            self.silent.store(0, Ordering::Relaxed);
+    /// Counts a call without an answer; after [`MAX_UNANSWERED_CALLS`] in a row the next message opens a new
+    /// connection. A network path that drops packets silently would otherwise hold calls until the long TCP timeouts
+    /// expire. The old connection is not closed: where the other node is only slow, closing it would lose the messages
+    /// in flight.
+    fn count_unanswered(&self) {
+        if self.unanswered_calls.fetch_add(1, Ordering::Relaxed) + 1 >= MAX_UNANSWERED_CALLS {
+            self.unanswered_calls.store(0, Ordering::Relaxed);
             self.current.store(None);
-            tracing::info!(event = "link_given_up", address = %self.address, silent_calls = MAX_SILENT_CALLS);
+            tracing::info!(event = "link_given_up", address = %self.address, silent_calls = MAX_UNANSWERED_CALLS);
         }
     }
 }
--- a/crates/link/src/server.rs
+++ b/crates/link/src/server.rs
@@ -1,4 +1,4 @@
-//! The peers' port: serves other nodes over `h2`. A malformed message closes its link alone.
+//! Server side of links: accepts the HTTP/2 connections of other nodes. A malformed message closes only its own link.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,20 +16,20 @@
 use crate::link::{PEER_HTTP2_FRAME_SIZE, PEER_WINDOW_SIZE};
 use crate::socket::set_tcp_options;
 
-/// Streams one node may have open at once on one link.
+/// The most streams that may be open at once on one link.
 const MAX_STREAMS: u32 = 10_000;
-/// How long a link may take to begin.
+/// The longest time that the HTTP/2 handshake of a link may take.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long until its first message, so that strangers do not hold links open.
+/// The longest time until the first message of a link, so that clients that are not nodes cannot hold connections open.
 const FIRST_STREAM_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a link may be without a new message, and with none open.
+/// A link with no open stream is closed after this long without a new message.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// Pause after a failed accept, such as with no descriptor left.
+/// Pause after a failed accept, for example when no file descriptor is left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// What a node does with the messages of others.
+/// Handles the messages of other nodes.
 pub trait PeerService: Send + Sync {
-    /// Serves one message. Its errors that tell of a malformed message close the link.
+    /// Handles one message. An error that means a malformed message closes the link.
     fn serve<'a>(
         &'a self,
         path: &'a str,
@@ -37,16 +37,16 @@
         respond: &'a mut SendResponse<Bytes>,
     ) -> BoxFuture<'a, Result<(), PeerError>>;
 
-    /// Notes a malformed message.
+    /// Records a malformed message on this path.
     fn record_malformed(&self, path: &str);
 
-    /// How long a link may be without its first message.
+    /// The longest time until the first message of a link.
     fn first_message_timeout(&self) -> Duration {
         FIRST_STREAM_TIMEOUT
     }
 }
 
-/// Serves the peers' port until the node ends.
+/// Accepts links on the listener until the task is dropped.
 pub async fn serve(service: Arc<dyn PeerService>, listener: Arc<TcpListener>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -64,7 +64,7 @@
 
 async fn serve_link(service: Arc<dyn PeerService>, stream: TcpStream) -> Result<(), h2::Error> {
     if let Err(error) = set_tcp_options(&stream) {
-        // Without the options frames wait for each other, and a cut is found later.
+        // Without the options small frames may be delayed and a lost connection is detected later.
         tracing::debug!(event = "peer_options_failed", %error);
     }
     let mut builder = h2::server::Builder::new();
@@ -74,13 +74,13 @@
     let Ok(connection) = handshake else { return Ok(()) };
     let mut connection = connection?;
     let (close, mut closed) = mpsc::channel::<()>(1);
-    let mut patience = service.first_message_timeout();
+    let mut idle_timeout = service.first_message_timeout();
     loop {
         tokio::select! {
-            accepted = tokio::time::timeout(patience, connection.accept()) => {
-                // Nodes connect when they have something to say, and again when they need to.
+            accepted = tokio::time::timeout(idle_timeout, connection.accept()) => {
+                // An idle link can be closed: the other node reconnects when it has a message to send.
                 let Ok(accepted) = accepted else {
-                    // Each open stream holds a sender; some last as long as their nodes.
+                    // Each open stream holds a sender. Some streams stay open as long as their nodes run.
                     if close.strong_count() > 1 {
                         continue;
                     }
@@ -88,7 +88,7 @@
                 };
                 let Some(accepted) = accepted else { return Ok(()) };
                 let (request, respond) = accepted?;
-                patience = IDLE_TIMEOUT;
+                idle_timeout = IDLE_TIMEOUT;
                 tokio::spawn(serve_stream(service.clone(), request, respond, close.clone()));
             }
             _ = closed.recv() => {
@@ -110,12 +110,12 @@
     if let Err(PeerError::Decode(_) | PeerError::FrameTooLong(_) | PeerError::BadStatus(_)) = result {
         service.record_malformed(&path);
         tracing::warn!(event = "bad_peer_message", path = %path);
-        // A full channel means that the link is being closed already.
+        // A full channel means that the link is already being closed.
         let _ = close.try_send(());
     }
 }
 
-/// Reads the one message of a stream, at most `limit` bytes.
+/// Reads the single message of a stream, of at most `limit` bytes.
 ///
 /// # Errors
 /// The stream fails, or the message is too long or malformed.
@@ -123,7 +123,7 @@
     FrameReader::new(body, limit).next().await?.ok_or(PeerError::EndedEarly)
 }
 
-/// Answers with one message.
+/// Answers with a single message.
 ///
 /// # Errors
 /// The stream fails.
@@ -132,7 +132,7 @@
     send_frame(&mut stream, encode_frame(message)?, true).await
 }
 
-/// Tells the other node that nothing was done with its message.
+/// Refuses a message: tells the other node with status 503 that it was not processed.
 ///
 /// # Errors
 /// The stream fails.
--- a/crates/link/src/socket.rs
+++ b/crates/link/src/socket.rs
@@ -1,25 +1,29 @@
-//! Options of connections to machines that may vanish without a word.
+//! TCP options of connections to machines that may fail without closing them.
 
 use std::time::Duration;
 
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// A path that acknowledges nothing for so long is given up.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(2);
-/// A peer that is silent for so long is probed, again after as long, and given up after two
-/// probes without an answer: three seconds in all.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-const PROBES: u32 = 2;
+/// A connection is closed when sent data stays unacknowledged for this long.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
+/// Keep-alive probes start after this long without traffic and repeat at the same interval. After two probes without an
+/// answer the connection is closed, three seconds in all.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_PROBES: u32 = 2;
 
-/// Sends small messages at once and finds a peer that vanished.
+/// Disables Nagle's algorithm, so that small messages are sent at once, and sets the timeouts that detect a failed
+/// peer.
 ///
 /// # Errors
-/// The system refuses an option.
+/// The operating system rejects an option.
 pub fn set_tcp_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
-    let probes = TcpKeepalive::new().with_time(PROBE_AFTER).with_interval(PROBE_AFTER).with_retries(PROBES);
-    socket.set_tcp_keepalive(&probes)
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
+    socket.set_tcp_keepalive(&keepalive)
 }
--- a/crates/link/tests/silent_link.rs
+++ b/crates/link/tests/silent_link.rs
@@ -1,10 +1,11 @@
-//! A link that is given up. What happened: beside a machine full of other work, two heartbeats in a row had no answer
-//! within their 0.8 s. The connection was given up and closed, and with it went every order that was on its way
-//! over it: 169 forwarded orders and 38 pieces of orders in 8 plays of 50 orders ended by `stream closed because of a broken pipe`,
-//! though both nodes ran, nothing was cut, and the orders' own time was not over. Their callers were told that they may
-//! have run; 1 to 26 of 50 were told that they ran.
+//! A link stops using a connection after two calls in a row without an answer, and messages in flight on it must still
+//! be answered.
 //!
-//! So a link that is given up takes no new message, and what is on its way goes on.
+//! The test guards against losing these messages. On a busy machine two heartbeats in a row had no answer within their
+//! 0.8 s, and closing the connection also ended every order in flight on it: 169 forwarded orders and 38 pieces of
+//! orders in 8 runs of 50 orders failed with `stream closed because of a broken pipe`. Both nodes were running, no
+//! network path was interrupted, and the deadlines of the orders had not passed. Callers were told that these orders
+//! may have run; 1 to 26 of 50 were reported as run.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -20,14 +21,14 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-/// Messages that are answered when the test says so, never, and at once.
+/// Paths whose messages are answered when the test releases them, never, and at once.
 const PATH_HELD: &str = "/held";
 const PATH_SILENT: &str = "/silent";
 const PATH_PROMPT: &str = "/prompt";
-/// How long a heartbeat waits here.
-const SHORT: Duration = Duration::from_millis(50);
-/// Longer than any call takes that passes.
-const LONG: Duration = Duration::from_secs(30);
+/// Timeout of a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(50);
+/// Timeout of calls that must succeed, longer than any of them takes.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Default)]
 struct SlowNode {
@@ -71,11 +72,11 @@
     (node, link)
 }
 
-/// Sends a message that is held, and waits until it is at the other node.
+/// Sends a message whose answer is held back, and waits until the other node has received it.
 async fn send_held(node: &SlowNode, link: &Arc<PeerLink>) -> tokio::task::JoinHandle<Result<u64, PeerError>> {
     let link = link.clone();
     let before = node.held.load(Ordering::SeqCst);
-    let held = tokio::spawn(async move { link.call::<u64, u64>(PATH_HELD, &7, LONG).await });
+    let held = tokio::spawn(async move { link.call::<u64, u64>(PATH_HELD, &7, CALL_TIMEOUT).await });
     while node.held.load(Ordering::SeqCst) == before {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
@@ -83,16 +84,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_message_on_its_way_is_answered_though_heartbeats_beside_it_were_not() {
+async fn a_message_in_flight_is_answered_after_heartbeats_on_its_connection_timed_out() {
     let (node, link) = start().await;
     let held = send_held(&node, &link).await;
     for _ in 0..2 {
-        assert!(link.call::<u64, u64>(PATH_SILENT, &1, SHORT).await.is_err());
+        assert!(link.call::<u64, u64>(PATH_SILENT, &1, HEARTBEAT_TIMEOUT).await.is_err());
     }
-    assert!(!link.is_open(), "two calls in a row without an answer give the connection up");
-    assert_eq!(link.call::<u64, u64>(PATH_PROMPT, &1, LONG).await.expect("an answer over a new one"), 2);
+    assert!(!link.is_open(), "two calls in a row without an answer retire the connection");
+    assert_eq!(link.call::<u64, u64>(PATH_PROMPT, &1, CALL_TIMEOUT).await.expect("an answer on a new connection"), 2);
     node.release.notify_waiters();
-    assert_eq!(held.await.expect("a call").expect("an answer over the one given up"), 8);
-    assert!(link.is_open(), "the end of the old connection does not take the new one for ended");
-    assert_eq!(link.call::<u64, u64>(PATH_PROMPT, &2, LONG).await.expect("an answer"), 3);
+    assert_eq!(held.await.expect("a call").expect("an answer on the retired connection"), 8);
+    assert!(link.is_open(), "the end of the old connection leaves the new one open");
+    assert_eq!(link.call::<u64, u64>(PATH_PROMPT, &2, CALL_TIMEOUT).await.expect("an answer"), 3);
 }
