--- a/crates/model/src/answer.rs
+++ b/crates/model/src/answer.rs
@@ -1,4 +1,4 @@
-//! What callers get: answers with their coverage, and problems that say whether the request ran.
+//! Responses to callers: answers with their shard coverage, and errors that state whether the request ran.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,16 +9,16 @@
 
 use crate::ids::{ConfigVersion, IndexVersion, RequestId, ShardId};
 
-/// Header: milliseconds the caller can wait, from arrival.
+/// Request header: deadline in milliseconds from the arrival of the request.
 pub const HEADER_DEADLINE: &str = "streamfold-deadline";
-/// Header: `latency` or `coverage`.
+/// Request header: what the caller prefers, `latency` or `coverage`.
 pub const HEADER_PREFER: &str = "streamfold-prefer";
-/// Header: `true` or `false`; a request that is not repeatable needs an `Idempotency-Key`.
+/// Request header: `true` or `false`. A request that is not repeatable needs an `Idempotency-Key`.
 pub const HEADER_REPEATABLE: &str = "streamfold-repeatable";
-/// Header: the key under which a request that is not repeatable runs at most once.
+/// Request header: the idempotency key. Requests with the same key run at most once.
 pub const HEADER_KEY: &str = "idempotency-key";
 
-/// Whether a request ran.
+/// Whether a request ran at a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, Encode, Decode)]
 #[serde(rename_all = "snake_case")]
 pub enum ExecutionState {
@@ -26,7 +26,7 @@
     NotRun,
     /// It ran.
     Ran,
-    /// It may have run; nobody can say.
+    /// It may have run; this cannot be determined.
     Unknown,
 }
 
@@ -44,21 +44,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Encode, Decode)]
 #[serde(rename_all = "snake_case")]
 pub enum MissingReason {
-    /// No node that owns a connection to the shard's servers could be reached.
+    /// No node that owns connections to the servers of the shard could be reached.
     NoOwner,
     /// No server of the shard could be connected to.
     Unreachable,
-    /// The servers of the shard shed the work.
+    /// The servers of the shard rejected the request because of overload.
     Shed,
-    /// No slot came free in time.
+    /// No server slot became free in time.
     Queued,
     /// The servers did not answer in time.
     Late,
-    /// The servers no longer, or do not yet, hold the pinned index version.
+    /// The servers do not hold the index version of the request, either no longer or not yet.
     VersionGone,
-    /// An answer was malformed, of another version, of another request or over the size limit.
+    /// The answer was malformed, too large, or belonged to another index version or another request.
     BadAnswer,
-    /// Every server of the shard is leaving.
+    /// Every server of the shard is shutting down.
     Leaving,
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// A shard that the answer does not cover.
+/// A shard whose results are missing from an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MissingShard {
     /// The shard.
@@ -86,19 +86,19 @@
     pub reason: MissingReason,
 }
 
-/// What an answer covers.
+/// The shards that an answer covers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardCoverage {
-    /// Shards asked for.
+    /// Number of requested shards.
     pub shards: usize,
-    /// Shards whose results are in the answer.
+    /// Number of shards whose results are in the answer.
     pub answered: usize,
-    /// The others, in order.
+    /// The other shards, ordered by number.
     pub missing: Vec<MissingShard>,
 }
 
 impl ShardCoverage {
-    /// The share answered, 0 to 1; 1 when nothing was asked for.
+    /// Fraction of the requested shards that are answered, 0 to 1; 1 if none was requested.
     pub fn answered_fraction(&self) -> f64 {
         if self.shards == 0 {
             return 1.0;
@@ -107,45 +107,45 @@
     }
 }
 
-/// A whole answer: results of one index version, with what they cover.
+/// The answer to a query: results of a single index version and the shards they cover.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct QueryAnswer {
-    /// The request's id, as in the logs.
+    /// The id of the request, as in the logs.
     pub request: RequestId,
-    /// The one index version every result comes from.
+    /// The index version that all results come from.
     pub index_version: IndexVersion,
-    /// The configuration the request ran under.
+    /// The configuration version that the request ran under.
     pub config_version: ConfigVersion,
-    /// Milliseconds since the node last heard that its configuration is the newest.
+    /// Milliseconds since the node last confirmed that its configuration is the newest.
     pub config_age_ms: u64,
-    /// What the results cover.
+    /// The shards that the results cover.
     pub coverage: ShardCoverage,
-    /// Results by shard, as the servers sent them.
+    /// Results by shard, as JSON that is passed on unchanged from the servers.
     pub results: BTreeMap<ShardId, Box<RawValue>>,
 }
 
-/// An error as RFC 9457 problem details; `ran` says whether the request ran.
+/// An error as RFC 9457 problem details, with the addition of `ran`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProblemDetails {
-    /// A stable name of the kind of problem, such as `unknown-index`.
+    /// Stable identifier of the kind of problem, such as `unknown-index`.
     #[serde(rename = "type")]
     pub kind: String,
     /// The HTTP status.
     pub status: u16,
-    /// What went wrong, where, for people.
+    /// Explanation for people.
     pub detail: String,
     /// Whether the request ran.
     pub ran: ExecutionState,
-    /// The request's id, when one was given out.
+    /// The id of the request, if one was assigned.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request: Option<RequestId>,
-    /// A ticket to use as `Idempotency-Key`, where one would help.
+    /// A ticket that a retry can use as its `Idempotency-Key`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub ticket: Option<String>,
-    /// Milliseconds after which asking again may help.
+    /// Milliseconds after which a retry may succeed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// Every problem found, where there can be several.
+    /// All problems found, where there can be several.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub problems: Vec<String>,
 }
--- a/crates/model/src/check.rs
+++ b/crates/model/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks a set of YAML files as a whole and lists every problem with file and line.
+//! Validates the YAML files of a configuration together and reports every problem with its file and line.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
@@ -14,69 +14,69 @@
 };
 use crate::ids::{CallerName, ConfigVersion, IndexName, ServerAddress, UpstreamIndex, UpstreamName};
 
-/// The most shards an index layout can have.
+/// The most shards in an index layout.
 pub const MAX_SHARDS: u32 = 65_536;
-/// The most slots and connections a server can have.
+/// The upper limit of the settings for slots, connections and concurrency.
 pub const MAX_SERVER_LIMIT: u32 = 100_000;
-/// The share of shards that contents a `latency` caller that names none.
+/// Default of `wanted_coverage`: the fraction of shards with which a `latency` caller accepts an answer.
 pub const DEFAULT_WANTED_COVERAGE: f64 = 0.95;
 
-/// One file of a configuration: its name, for messages, and its YAML text.
+/// One YAML file of a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub struct SourceFile {
-    /// The name.
+    /// The file name, which error messages show.
     pub name: String,
-    /// The text.
+    /// The YAML text.
     pub text: String,
 }
 
-/// What is wrong with a configuration.
+/// A problem in a configuration.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum CheckProblem {
-    /// The file is not YAML of the wanted shape.
+    /// The file is not valid YAML or does not match the schema.
     #[error("{0}")]
     Syntax(String),
-    /// A name is given twice, here and at an earlier place.
-    #[error("{kind} {name} is given twice")]
-    Twice {
-        /// What kind of thing.
+    /// A name is defined more than once.
+    #[error("{kind} {name} is defined twice")]
+    Duplicate {
+        /// The kind of entry.
         kind: &'static str,
-        /// Its name.
+        /// The name.
         name: String,
     },
-    /// Something refers to a name that is not there.
-    #[error("{from} names {kind} {name}, which does not exist")]
+    /// An entry refers to a name that is not defined.
+    #[error("{from} refers to {kind} {name}, which does not exist")]
     UnknownReference {
-        /// The thing that refers.
+        /// The entry with the reference.
         from: String,
-        /// The kind referred to.
+        /// The kind of entry that is referred to.
         kind: &'static str,
-        /// The missing name.
+        /// The undefined name.
         name: String,
     },
-    /// A number lies outside its range.
+    /// A value is outside its range.
     #[error("{what} is {found}; it must be {range}")]
     OutOfRange {
-        /// Which value.
+        /// The name of the value.
         what: String,
-        /// What it is.
+        /// The value found.
         found: String,
-        /// What it may be.
+        /// The allowed range.
         range: &'static str,
     },
-    /// Something that needs entries has none.
+    /// A list that needs entries is empty.
     #[error("{0} is empty")]
     Empty(String),
-    /// The shards of a layout leave out or repeat one.
+    /// A shard is missing from a layout or assigned twice.
     #[error("index {index}, layout from version {version}: shard {shard} is {fault}")]
-    ShardCover {
+    ShardAssignment {
         /// The index.
         index: IndexName,
-        /// The layout's first version.
+        /// The first index version of the layout.
         version: u64,
         /// The shard.
         shard: u32,
-        /// "missing" or "given twice".
+        /// "missing" or "assigned twice".
         fault: &'static str,
     },
     /// Two callers have the same token.
@@ -84,14 +84,14 @@
     SharedToken(CallerName, CallerName),
 }
 
-/// A problem with the place it was found at.
+/// A problem and its location.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CheckError {
     /// The file.
     pub file: String,
-    /// The line, from 1; 0 where the whole file is meant.
+    /// The line, counted from 1; 0 if the problem concerns the whole file.
     pub line: u64,
-    /// What is wrong.
+    /// The problem.
     pub problem: CheckProblem,
 }
 
@@ -101,21 +101,21 @@
     }
 }
 
-/// Where a value stands: file name and line.
-type SourcePlace = (Arc<str>, u64);
+/// Location of a value: file name and line.
+type SourceLocation = (Arc<str>, u64);
 
-/// The documents of all files under one roof, with the place of each entry.
+/// The entries of all files with their locations.
 #[derive(Default)]
 struct MergedDocument {
-    indexes: BTreeMap<IndexName, (SourcePlace, IndexDocument)>,
-    upstreams: BTreeMap<UpstreamName, (SourcePlace, UpstreamDocument)>,
-    callers: BTreeMap<CallerName, (SourcePlace, CallerDocument)>,
+    indexes: BTreeMap<IndexName, (SourceLocation, IndexDocument)>,
+    upstreams: BTreeMap<UpstreamName, (SourceLocation, UpstreamDocument)>,
+    callers: BTreeMap<CallerName, (SourceLocation, CallerDocument)>,
 }
 
-/// Checks files as one configuration with the given version.
+/// Checks files as one configuration and gives it this version.
 ///
 /// # Errors
-/// Every problem found, each with file and line; then nothing of the files is used.
+/// All problems found, sorted by file and line. No part of the files is used then.
 pub fn check_files(version: ConfigVersion, files: &[SourceFile]) -> Result<Configuration, Vec<CheckError>> {
     let mut checker = Checker::default();
     for file in files {
@@ -139,8 +139,8 @@
 }
 
 impl Checker {
-    fn fail(&mut self, place: &SourcePlace, problem: CheckProblem) {
-        self.errors.push(CheckError { file: place.0.to_string(), line: place.1, problem });
+    fn push_error(&mut self, location: &SourceLocation, problem: CheckProblem) {
+        self.errors.push(CheckError { file: location.0.to_string(), line: location.1, problem });
     }
 
     fn read_file(&mut self, file: &SourceFile) {
@@ -150,50 +150,50 @@
             Err(error) => {
                 let line = error.location().map_or(0, |location| location.line());
                 let text = error.without_snippet().to_string();
-                self.fail(&(name, line), CheckProblem::Syntax(text));
+                self.push_error(&(name, line), CheckProblem::Syntax(text));
                 return;
             }
         };
         for (id, entry) in document.indexes {
-            let place = (name.clone(), entry.referenced.line());
-            if self.merged.indexes.insert(id.clone(), (place.clone(), entry.value)).is_some() {
-                self.fail(&place, CheckProblem::Twice { kind: "index", name: id.to_string() });
+            let location = (name.clone(), entry.referenced.line());
+            if self.merged.indexes.insert(id.clone(), (location.clone(), entry.value)).is_some() {
+                self.push_error(&location, CheckProblem::Duplicate { kind: "index", name: id.to_string() });
             }
         }
         for (id, entry) in document.upstreams {
-            let place = (name.clone(), entry.referenced.line());
-            if self.merged.upstreams.insert(id.clone(), (place.clone(), entry.value)).is_some() {
-                self.fail(&place, CheckProblem::Twice { kind: "upstream", name: id.to_string() });
+            let location = (name.clone(), entry.referenced.line());
+            if self.merged.upstreams.insert(id.clone(), (location.clone(), entry.value)).is_some() {
+                self.push_error(&location, CheckProblem::Duplicate { kind: "upstream", name: id.to_string() });
             }
         }
         for (id, entry) in document.callers {
-            let place = (name.clone(), entry.referenced.line());
-            if self.merged.callers.insert(id.clone(), (place.clone(), entry.value)).is_some() {
-                self.fail(&place, CheckProblem::Twice { kind: "caller", name: id.to_string() });
+            let location = (name.clone(), entry.referenced.line());
+            if self.merged.callers.insert(id.clone(), (location.clone(), entry.value)).is_some() {
+                self.push_error(&location, CheckProblem::Duplicate { kind: "caller", name: id.to_string() });
             }
         }
     }
 
-    fn check_limit(&mut self, place: &SourcePlace, what: String, found: u32) {
+    fn check_limit(&mut self, location: &SourceLocation, what: String, found: u32) {
         if !(1..=MAX_SERVER_LIMIT).contains(&found) {
             let problem = CheckProblem::OutOfRange { what, found: found.to_string(), range: "1 to 100000" };
-            self.fail(place, problem);
+            self.push_error(location, problem);
         }
     }
 
     fn check_upstreams(&mut self, merged: &MergedDocument) -> Vec<Arc<UpstreamSpec>> {
-        let mut owners: HashMap<ServerAddress, UpstreamName> = HashMap::new();
+        let mut upstream_of: HashMap<ServerAddress, UpstreamName> = HashMap::new();
         let mut specs = Vec::new();
-        for (name, (place, document)) in &merged.upstreams {
-            self.check_limit(place, format!("slots of upstream {name}"), document.slots);
-            self.check_limit(place, format!("connections of upstream {name}"), document.connections);
+        for (name, (location, document)) in &merged.upstreams {
+            self.check_limit(location, format!("slots of upstream {name}"), document.slots);
+            self.check_limit(location, format!("connections of upstream {name}"), document.connections);
             if document.servers.is_empty() {
-                self.fail(place, CheckProblem::Empty(format!("servers of upstream {name}")));
+                self.push_error(location, CheckProblem::Empty(format!("servers of upstream {name}")));
             }
             for server in &document.servers {
-                if owners.insert(server.value, name.clone()).is_some() {
-                    let twice = CheckProblem::Twice { kind: "server", name: server.value.to_string() };
-                    self.fail(&(place.0.clone(), server.referenced.line()), twice);
+                if upstream_of.insert(server.value, name.clone()).is_some() {
+                    let problem = CheckProblem::Duplicate { kind: "server", name: server.value.to_string() };
+                    self.push_error(&(location.0.clone(), server.referenced.line()), problem);
                 }
             }
             specs.push(Arc::new(UpstreamSpec {
@@ -213,17 +213,17 @@
         let positions: HashMap<&UpstreamName, UpstreamIndex> =
             names.map(|(name, position)| (name, UpstreamIndex(position))).collect();
         let mut specs = BTreeMap::new();
-        for (name, (place, document)) in &merged.indexes {
+        for (name, (location, document)) in &merged.indexes {
             if document.layouts.is_empty() {
-                self.fail(place, CheckProblem::Empty(format!("layouts of index {name}")));
+                self.push_error(location, CheckProblem::Empty(format!("layouts of index {name}")));
             }
             let mut layouts: Vec<ShardLayout> = Vec::new();
             for entry in &document.layouts {
-                let place = (place.0.clone(), entry.referenced.line());
-                let layout = self.check_layout(&place, name, &entry.value, &positions);
+                let location = (location.0.clone(), entry.referenced.line());
+                let layout = self.check_layout(&location, name, &entry.value, &positions);
                 if layouts.iter().any(|other| other.first_version == layout.first_version) {
                     let name = format!("{name} from version {}", layout.first_version);
-                    self.fail(&place, CheckProblem::Twice { kind: "layout of index", name });
+                    self.push_error(&location, CheckProblem::Duplicate { kind: "layout of index", name });
                 }
                 layouts.push(layout);
             }
@@ -235,67 +235,67 @@
 
     fn check_layout(
         &mut self,
-        place: &SourcePlace,
+        location: &SourceLocation,
         index: &IndexName,
         document: &LayoutDocument,
         positions: &HashMap<&UpstreamName, UpstreamIndex>,
     ) -> ShardLayout {
         let mut shards: BTreeMap<u32, Arc<[UpstreamIndex]>> = BTreeMap::new();
         for entry in &document.shards {
-            let place = (place.0.clone(), entry.referenced.line());
-            let upstreams = self.check_holders(&place, index, &entry.value, positions);
+            let location = (location.0.clone(), entry.referenced.line());
+            let upstreams = self.check_shard_upstreams(&location, index, &entry.value, positions);
             let (first, last) = entry.value.ids;
             if first > last || last >= MAX_SHARDS {
                 let what = format!("ids of shards of index {index}");
                 let found = format!("[{first}, {last}]");
-                let range = "a rising pair below 65536";
-                self.fail(&place, CheckProblem::OutOfRange { what, found, range });
+                let range = "an ascending pair below 65536";
+                self.push_error(&location, CheckProblem::OutOfRange { what, found, range });
                 continue;
             }
             for shard in first..=last {
                 if shards.insert(shard, upstreams.clone()).is_some() {
-                    self.fail_cover(&place, index, document, shard, "given twice");
+                    self.push_shard_error(&location, index, document, shard, "assigned twice");
                 }
             }
         }
         if shards.is_empty() {
-            self.fail(place, CheckProblem::Empty(format!("shards of index {index}")));
+            self.push_error(location, CheckProblem::Empty(format!("shards of index {index}")));
         }
         let gap = (0..).zip(shards.keys()).find(|(expected, found)| expected != *found);
         if let Some((missing, _)) = gap {
-            self.fail_cover(place, index, document, missing, "missing");
+            self.push_shard_error(location, index, document, missing, "missing");
         }
         ShardLayout { first_version: document.from_version, shards: shards.into_values().collect() }
     }
 
-    fn fail_cover(
+    fn push_shard_error(
         &mut self,
-        place: &SourcePlace,
+        location: &SourceLocation,
         index: &IndexName,
         document: &LayoutDocument,
         shard: u32,
         fault: &'static str,
     ) {
         let version = document.from_version.0;
-        self.fail(place, CheckProblem::ShardCover { index: index.clone(), version, shard, fault });
+        self.push_error(location, CheckProblem::ShardAssignment { index: index.clone(), version, shard, fault });
     }
 
-    fn check_holders(
+    fn check_shard_upstreams(
         &mut self,
-        place: &SourcePlace,
+        location: &SourceLocation,
         index: &IndexName,
         document: &ShardsDocument,
         positions: &HashMap<&UpstreamName, UpstreamIndex>,
     ) -> Arc<[UpstreamIndex]> {
         if document.upstreams.is_empty() {
-            self.fail(place, CheckProblem::Empty(format!("upstreams of shards of index {index}")));
+            self.push_error(location, CheckProblem::Empty(format!("upstreams of shards of index {index}")));
         }
-        let mut holders = Vec::new();
+        let mut indices = Vec::new();
         for name in &document.upstreams {
             match positions.get(name) {
-                Some(position) => holders.push(*position),
-                None => self.fail(
-                    place,
+                Some(position) => indices.push(*position),
+                None => self.push_error(
+                    location,
                     CheckProblem::UnknownReference {
                         from: format!("index {index}"),
                         kind: "upstream",
@@ -304,24 +304,24 @@
                 ),
             }
         }
-        holders.into()
+        indices.into()
     }
 
     fn check_callers(&mut self, merged: &MergedDocument) -> HashMap<crate::ids::ContentDigest, Arc<CallerSpec>> {
         let mut specs: HashMap<_, Arc<CallerSpec>> = HashMap::new();
-        for (name, (place, document)) in &merged.callers {
+        for (name, (location, document)) in &merged.callers {
             for index in &document.indexes {
-                self.check_reach(place, name, index, merged);
+                self.check_index_reference(location, name, index, merged);
             }
             let wanted = document.wanted_coverage.unwrap_or(DEFAULT_WANTED_COVERAGE);
-            self.check_range(place, wanted, 0.0..=1.0, format!("wanted_coverage of caller {name}"), "0 to 1");
-            self.check_range(place, document.rate.0, 0.001..=1e9, format!("rate of caller {name}"), "above 0");
-            self.check_limit(place, format!("concurrency of caller {name}"), document.concurrency);
+            self.check_range(location, wanted, 0.0..=1.0, format!("wanted_coverage of caller {name}"), "0 to 1");
+            self.check_range(location, document.rate.0, 0.001..=1e9, format!("rate of caller {name}"), "above 0");
+            self.check_limit(location, format!("concurrency of caller {name}"), document.concurrency);
             let deadline = document.deadline.0;
             if deadline.is_zero() {
                 let what = format!("deadline of caller {name}");
                 let found = document.deadline.to_string();
-                self.fail(place, CheckProblem::OutOfRange { what, found, range: "above 0" });
+                self.push_error(location, CheckProblem::OutOfRange { what, found, range: "above 0" });
             }
             let spec = CallerSpec {
                 name: name.clone(),
@@ -335,15 +335,15 @@
                 concurrency: document.concurrency,
             };
             if let Some(other) = specs.insert(spec.token, Arc::new(spec)) {
-                self.fail(place, CheckProblem::SharedToken(other.name.clone(), name.clone()));
+                self.push_error(location, CheckProblem::SharedToken(other.name.clone(), name.clone()));
             }
         }
         specs
     }
 
-    fn check_reach(
+    fn check_index_reference(
         &mut self,
-        place: &SourcePlace,
+        location: &SourceLocation,
         caller: &CallerName,
         index: &Spanned<IndexName>,
         merged: &MergedDocument,
@@ -353,19 +353,19 @@
         }
         let from = format!("caller {caller}");
         let problem = CheckProblem::UnknownReference { from, kind: "index", name: index.value.to_string() };
-        self.fail(&(place.0.clone(), index.referenced.line()), problem);
+        self.push_error(&(location.0.clone(), index.referenced.line()), problem);
     }
 
     fn check_range(
         &mut self,
-        place: &SourcePlace,
+        location: &SourceLocation,
         value: f64,
         allowed: std::ops::RangeInclusive<f64>,
         what: String,
         range: &'static str,
     ) {
         if !allowed.contains(&value) {
-            self.fail(place, CheckProblem::OutOfRange { what, found: value.to_string(), range });
+            self.push_error(location, CheckProblem::OutOfRange { what, found: value.to_string(), range });
         }
     }
 }
--- a/crates/model/src/document.rs
+++ b/crates/model/src/document.rs
@@ -1,4 +1,4 @@
-//! The configuration as written: YAML documents, with the line each value stands on.
+//! Schema of the YAML configuration files. Values keep their line numbers for error messages.
 
 use std::collections::BTreeMap;
 
@@ -23,42 +23,42 @@
     pub callers: BTreeMap<CallerName, Spanned<CallerDocument>>,
 }
 
-/// An index and its layouts.
+/// An index and its shard layouts.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct IndexDocument {
-    /// Layouts; the one with the highest `from_version` not above an index version is its own.
+    /// Layouts; an index version uses the one with the highest `from_version` that is not above it.
     pub layouts: Vec<Spanned<LayoutDocument>>,
 }
 
-/// How an index is sharded from one index version on.
+/// How an index is sharded, starting with one index version.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LayoutDocument {
     /// The first index version with this layout.
     pub from_version: IndexVersion,
-    /// Which upstreams hold which shards; together they cover 0 to the highest without a gap.
+    /// The upstreams of each shard range. The ranges together cover all shards from 0 to the highest without a gap.
     pub shards: Vec<Spanned<ShardsDocument>>,
 }
 
-/// A run of shards and the upstreams that hold them.
+/// A range of shards and the upstreams that hold them.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShardsDocument {
-    /// First and last shard, both included.
+    /// First and last shard of the range, inclusive.
     pub ids: (u32, u32),
-    /// The upstreams, each holding all of these shards, the preferred one first.
+    /// The upstreams, each of which holds all of these shards; the preferred one first.
     pub upstreams: Vec<UpstreamName>,
 }
 
-/// Protocol towards a server.
+/// The protocol of the connections to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ServerProtocol {
     /// HTTP/2 with prior knowledge.
     #[default]
     H2,
-    /// HTTP/1.1, one request at a time on a connection.
+    /// HTTP/1.1, one request at a time on each connection.
     Http1,
 }
 
@@ -68,47 +68,47 @@
 pub struct UpstreamDocument {
     /// The failure domain it runs in.
     pub failure_domain: FailureDomain,
-    /// Calls each server runs at the same time.
+    /// The most calls that one server runs concurrently.
     pub slots: u32,
-    /// Connections each server accepts from everybody together.
+    /// The most connections that one server accepts from all nodes together.
     pub connections: u32,
-    /// Protocol towards its servers.
+    /// The protocol that its servers use.
     #[serde(default)]
     pub protocol: ServerProtocol,
-    /// Its servers, each holding all of its shards.
+    /// Its servers, each of which holds all of its shards.
     pub servers: Vec<Spanned<ServerAddress>>,
 }
 
-/// What a caller weighs most.
+/// Whether a caller prefers low latency or full coverage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CallerPreference {
-    /// Answer once the wanted coverage is there and the preferred time is over.
+    /// Answer as soon as the wanted coverage is reached and the preferred time has passed.
     Latency,
-    /// Wait to the deadline for the whole.
+    /// Wait for all shards until the deadline.
     #[default]
     Coverage,
 }
 
-/// A caller and what it may do.
+/// A caller and its limits.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerDocument {
-    /// SHA-256 of its bearer token, hex.
+    /// SHA-256 digest of its bearer token, in hex.
     pub token_sha256: ContentDigest,
-    /// Indexes it may reach.
+    /// Indexes that it may query.
     pub indexes: Vec<Spanned<IndexName>>,
-    /// What it weighs most.
+    /// Whether it prefers low latency or full coverage.
     #[serde(default)]
     pub prefer: CallerPreference,
-    /// The deadline of a request that names none, and the longest it may name.
+    /// The deadline of requests that set none, and the longest that they may set.
     pub deadline: TimeSpan,
-    /// The time after which a `latency` caller takes an answer with the wanted coverage.
+    /// The time after which a `latency` caller accepts an answer with the wanted coverage.
     pub prefer_within: Option<TimeSpan>,
-    /// The share of shards a `latency` caller is content with, 0 to 1.
+    /// The fraction of shards that is enough for a `latency` caller, 0 to 1.
     pub wanted_coverage: Option<f64>,
-    /// Requests a second it may send to one node.
+    /// The most requests per second that it may send to one node.
     pub rate: CallRate,
-    /// Requests it may have running at one node.
+    /// The most concurrent requests that it may have at one node.
     pub concurrency: u32,
 }
--- a/crates/model/src/head.rs
+++ b/crates/model/src/head.rs
@@ -1,4 +1,4 @@
-//! The committed head of the configuration, which is its audit record too.
+//! The head record of the committed configuration, which also serves as its audit record.
 
 use bincode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
@@ -6,43 +6,43 @@
 use crate::check::SourceFile;
 use crate::ids::{ChangeId, ConfigVersion, ContentDigest};
 
-/// Change ids kept in the head, so that a retried change is known as applied.
+/// Number of earlier change ids kept in the head, so that the retry of an applied change is recognized.
 pub const RECENT_CHANGES: usize = 64;
 
-/// One configuration file as stored: its text is cut into sections under their digests.
+/// A configuration file as stored: its text is split into sections, each stored under its digest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub struct StoredFile {
-    /// The file's name as the operator gave it.
+    /// The file name given by the operator.
     pub name: String,
     /// Digests of its sections, in order.
     pub sections: Vec<ContentDigest>,
 }
 
-/// One committed configuration: the value of `config/head`, copied to `audit/<version>`.
+/// A committed configuration: the value of `config/head`, copied to `audit/<version>` once it is replaced.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub struct HeadRecord {
-    /// The version; one more than the one it replaced.
+    /// The version; one more than that of the head it replaced.
     pub version: ConfigVersion,
-    /// Digest over names and sections of all files.
+    /// Digest of the names and section digests of all files.
     pub digest: ContentDigest,
     /// The files.
     pub files: Vec<StoredFile>,
-    /// The change that made this version.
+    /// The change that created this version.
     pub change: ChangeId,
     /// Who applied it.
     pub operator: String,
-    /// Why, in the operator's words.
+    /// The reason given by the operator.
     pub reason: String,
     /// The node that committed it.
     pub node: String,
-    /// Wall-clock time of the commit, milliseconds since 1970; for people, never for order.
+    /// Wall-clock time of the commit in milliseconds since 1970. For information only; never used for ordering.
     pub time_ms: u64,
-    /// Earlier changes, newest first, with the version each made.
+    /// Earlier changes and the versions they created, newest first.
     pub recent: Vec<(ChangeId, ConfigVersion)>,
 }
 
 impl HeadRecord {
-    /// The version that `change` made, if this head or a recent one came from it.
+    /// Returns the version that `change` created, if it is that of this head or of a recent one.
     pub fn version_of(&self, change: ChangeId) -> Option<ConfigVersion> {
         if self.change == change {
             return Some(self.version);
@@ -51,7 +51,7 @@
         recent.find(|(id, _)| *id == change).map(|(_, version)| *version)
     }
 
-    /// The digest that a set of stored files must have.
+    /// Computes the digest of stored files.
     pub fn digest_of(files: &[StoredFile]) -> ContentDigest {
         let mut bytes = Vec::new();
         for file in files {
@@ -66,7 +66,7 @@
     }
 }
 
-/// A head with the text of its files, as nodes pass it on.
+/// A head with the text of its files, as nodes send it to each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub struct ConfigBundle {
     /// The committed head.
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -1,5 +1,5 @@
-//! Ids of everything the system names. Each has `Display` and `FromStr`, so that a
-//! value of one kind is never taken for another.
+//! Id types. Each kind of id has a type of its own, with `Display` and `FromStr`, so that ids of different kinds cannot
+//! be mixed up.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,32 +9,33 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// The longest name accepted, in bytes.
+/// The longest name that a configuration may define, in bytes.
 pub const MAX_NAME_LEN: usize = 64;
 
-/// Why a text is not an id.
+/// Error of parsing an id.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ParseIdError {
-    /// The text has no characters.
+    /// The text is empty.
     #[error("a {0} must not be empty")]
     Empty(&'static str),
-    /// The text is longer than [`MAX_NAME_LEN`] or, for ids of others, [`MAX_EXTERNAL_NAME_LEN`].
+    /// The text is longer than [`MAX_NAME_LEN`], or for external names than [`MAX_EXTERNAL_NAME_LEN`].
     #[error("a {0} is too long")]
     TooLong(&'static str),
-    /// Only lower-case letters, digits, `-`, `_` and `.` are names.
+    /// The text has an invalid character. Names hold only lower-case letters, digits, `-`, `_` and `.`; external names
+    /// hold any visible ASCII character.
     #[error("a {kind} holds only a-z, 0-9, '-', '_' and '.', not {found:?}")]
     BadCharacter {
         /// What was being read.
         kind: &'static str,
-        /// The first character that is not allowed.
+        /// The first invalid character.
         found: char,
     },
-    /// The text is not a number of the wanted form.
+    /// The text does not have the format of this kind of id.
     #[error("{text:?} is not a {kind}")]
     BadFormat {
         /// What was being read.
         kind: &'static str,
-        /// The text found.
+        /// The text, which may be truncated.
         text: String,
     },
 }
@@ -53,10 +54,10 @@
     }
 }
 
-/// The longest token accepted, in bytes.
+/// The longest name accepted from other systems, in bytes.
 pub const MAX_EXTERNAL_NAME_LEN: usize = 128;
 
-/// Names that others hand out are taken as they come, if they are short and printable.
+/// Checks a name that another system assigned: any short text of visible ASCII characters.
 fn check_external_name(kind: &'static str, text: &str) -> Result<(), ParseIdError> {
     if text.is_empty() {
         return Err(ParseIdError::Empty(kind));
@@ -120,44 +121,44 @@
 }
 
 name_id!(
-    /// Names an index: what callers query.
+    /// Name of an index, which callers query.
     IndexName, "index name"
 );
 name_id!(
-    /// Names an upstream: a group of servers holding the same shards.
+    /// Name of an upstream: a group of servers that hold the same shards.
     UpstreamName, "upstream name"
 );
 name_id!(
-    /// Names a caller.
+    /// Name of a caller.
     CallerName, "caller name"
 );
 name_id!(
-    /// Names a failure domain.
+    /// Name of a failure domain.
     FailureDomain, "failure domain"
 );
 name_id!(
-    /// Names a region: failure domains near each other.
+    /// Name of a region: a group of failure domains close to each other.
     RegionName, "region name", check_external_name
 );
 name_id!(
-    /// Names a node: one VM's daemon, across its restarts.
+    /// Id of a node: the daemon of one VM. It stays the same across restarts.
     NodeId, "node id"
 );
 
 name_id!(
-    /// Names a route.
+    /// Name of a route.
     RouteName, "route name", check_external_name
 );
 name_id!(
-    /// Names a service: servers of which any one can answer a request.
+    /// Name of a service: a group of servers, any of which can answer a request.
     ServiceName, "service name", check_external_name
 );
 name_id!(
-    /// Names a team that calls routes.
+    /// Name of a team that calls routes.
     TeamName, "team name", check_external_name
 );
 name_id!(
-    /// Names a server. A process that starts again may have the name that it had before.
+    /// Id of a server. A restarted process may keep the id it had before.
     ServerId, "server id", check_external_name
 );
 
@@ -186,43 +187,43 @@
 }
 
 number_id!(
-    /// A shard of one index layout, counted from 0.
+    /// Number of a shard within an index layout, counted from 0.
     ShardId, u32, "shard number"
 );
 number_id!(
-    /// A version of an index's data; a higher one is newer.
+    /// Version of the data of an index; higher is newer.
     IndexVersion, u64, "index version"
 );
 number_id!(
-    /// A version of the configuration; it only rises. 0 stands for none.
+    /// Version of the configuration; it only increases. 0 means none.
     ConfigVersion, u64, "configuration version"
 );
 number_id!(
-    /// A version of the routes; it only rises. 0 stands for none.
+    /// Version of the routes; it only increases. 0 means none.
     TableVersion, u64, "routes version"
 );
 number_id!(
-    /// One run of a node: milliseconds since 1970 at its start, used only to tell runs apart.
+    /// Incarnation of a node: its start time in milliseconds since 1970, used only to distinguish its runs.
     Incarnation, u64, "incarnation"
 );
 
 number_id!(
-    /// When a server's process started: milliseconds since 1970 by its own clock, used only to tell its runs
-    /// apart and to order them. 0 where it tells none.
+    /// Start time of a server process in milliseconds since 1970 by its own clock, used only to distinguish and order
+    /// its runs. 0 if the server reports none.
     ServerStart, u64, "server start"
 );
 
-/// One run of a server's process.
+/// One run of a server process, from its start to its end.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Encode, Decode)]
 #[serde(try_from = "String", into = "String")]
 pub struct ServerRun {
     /// The server.
     pub id: ServerId,
-    /// Which run of it.
+    /// The start time that identifies the run.
     pub start: ServerStart,
 }
 
-/// Between a server's id and the start of a run in text.
+/// Separates the server id from the start time in the text form of a run.
 const RUN_MARK: char = '@';
 
 impl fmt::Display for ServerRun {
@@ -238,8 +239,8 @@
     type Err = ParseIdError;
 
     fn from_str(text: &str) -> Result<Self, ParseIdError> {
-        let started = text.rsplit_once(RUN_MARK).and_then(|(id, start)| Some((id, start.parse().ok()?)));
-        let (id, start) = started.unwrap_or((text, ServerStart(0)));
+        let parsed = text.rsplit_once(RUN_MARK).and_then(|(id, start)| Some((id, start.parse().ok()?)));
+        let (id, start) = parsed.unwrap_or((text, ServerStart(0)));
         Ok(Self { id: id.parse()?, start })
     }
 }
@@ -259,13 +260,13 @@
 }
 
 impl ConfigVersion {
-    /// The version that follows this one.
+    /// Returns the version that follows this one.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-/// Position of an upstream in the configuration it was read from.
+/// Index of an upstream in the list of upstreams of its configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct UpstreamIndex(pub u32);
 
@@ -311,27 +312,27 @@
 }
 
 hex_id!(
-    /// One caller's request, random, 32 hex digits.
+    /// Id of a request: random, written as 32 hex digits.
     RequestId, "request id"
 );
 hex_id!(
-    /// One attempt at one server, random, 32 hex digits; the answer must echo it.
+    /// Id of one attempt at one server: random, written as 32 hex digits. The answer must echo it.
     AttemptId, "attempt id"
 );
 hex_id!(
-    /// One change of the configuration, chosen by the operator's tool; a retry keeps it.
+    /// Id of a change of the configuration. The operator's tool chooses it, and a retry reuses it.
     ChangeId, "change id"
 );
 
 hex_id!(
-    /// What a request asks for: two that have it in common have the same method, host, path and body,
-    /// whoever sent them and under whatever request id.
+    /// Digest of the content of a request: requests with the same method, host, path and body share it, regardless of
+    /// their caller and request id.
     ContentId, "content id"
 );
 
 impl ContentId {
-    /// The id of some content, given piece by piece. It is cut from a SHA-256 digest, so that nobody can
-    /// make a request that is taken for another's.
+    /// Computes the id of content given in pieces. It is a truncated SHA-256 digest, so that nobody can craft a request
+    /// that is mistaken for another one.
     pub fn of(pieces: &[&[u8]]) -> Self {
         let mut digest = Sha256::new();
         for piece in pieces {
@@ -343,7 +344,7 @@
     }
 }
 
-/// Where a server listens: an IP number and a port.
+/// Address of a server: IP address and port.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ServerAddress(pub SocketAddr);
@@ -352,7 +353,7 @@
     type Err = ParseIdError;
 
     fn from_str(text: &str) -> Result<Self, ParseIdError> {
-        let bad = |_| ParseIdError::BadFormat { kind: "server address (IP number and port)", text: text.to_owned() };
+        let bad = |_| ParseIdError::BadFormat { kind: "server address (IP address and port)", text: text.to_owned() };
         text.parse().map(Self).map_err(bad)
     }
 }
@@ -363,13 +364,13 @@
     }
 }
 
-/// A SHA-256 digest, 64 hex digits: of a configuration section or of a caller's token.
+/// A SHA-256 digest of a configuration section or of a caller's token, written as 64 hex digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Encode, Decode)]
 #[serde(try_from = "String", into = "String")]
 pub struct ContentDigest(pub [u8; 32]);
 
 impl ContentDigest {
-    /// The digest of some bytes.
+    /// Computes the digest of bytes.
     pub fn of(bytes: &[u8]) -> Self {
         Self(Sha256::digest(bytes).into())
     }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,6 +1,6 @@
-//! Words, ids, units, outcomes and the checked configuration of streamfold.
+//! Data types shared by all crates: ids, units, outcomes, routes and the validated configuration.
 //!
-//! Nothing here does I/O. Every other crate speaks in these types.
+//! Nothing here does I/O.
 
 pub mod answer;
 pub mod check;
--- a/crates/model/src/operator.rs
+++ b/crates/model/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators send to a node and get from it, as JSON over HTTP.
+//! Requests and answers of the operators' API of a node, as JSON over HTTP.
 
 use std::net::SocketAddr;
 
@@ -7,66 +7,66 @@
 use crate::check::SourceFile;
 use crate::ids::{ChangeId, ConfigVersion, FailureDomain, Incarnation, NodeId, ServerAddress, UpstreamName};
 
-/// A configuration to check or to apply: the body of `POST /v1/config`.
+/// The body of `POST /v1/config`: a configuration to check or to apply.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ApplyRequest {
-    /// Its files.
+    /// The files of the configuration.
     pub files: Vec<SourceFile>,
-    /// The change's id; a retry keeps it.
+    /// The id of the change; a retry reuses it.
     pub change: ChangeId,
-    /// The version this change was made against.
+    /// The version on which this change is based.
     pub expected: Option<ConfigVersion>,
-    /// Who applies it.
+    /// The operator who applies it.
     pub operator: String,
-    /// Why.
+    /// The reason for the change.
     pub reason: String,
-    /// Only check.
+    /// Whether the configuration is only checked, not applied.
     #[serde(default)]
     pub dry_run: bool,
 }
 
-/// What became of an apply.
+/// The result of an apply.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ApplyAnswer {
-    /// The version the change made; after a dry run, the one in force.
+    /// The version that the change created; after a dry run, the version in force.
     pub version: ConfigVersion,
-    /// Whether something was committed.
+    /// Whether a version was committed.
     pub committed: bool,
 }
 
-/// How live a node looks to the one that tells.
+/// Health of a node, as seen by the node that reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberHealth {
-    /// Its heartbeats come.
+    /// Its heartbeats arrive in time.
     Live,
     /// Its heartbeats are late.
     Suspect,
-    /// Its heartbeats have been missing so long that it gets no work.
+    /// Its heartbeats have been missing for so long that it gets no requests.
     Dead,
 }
 
-/// A node as another node sees it.
+/// A node, as seen by another node.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// The node.
     pub node: NodeId,
-    /// Its run.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its failure domain.
     pub domain: FailureDomain,
-    /// Where its operators' port is.
+    /// The address of its operators' API.
     pub operator_address: SocketAddr,
-    /// `live`, `leaving` or `gone`, as it says itself.
+    /// The state that it announces: `live`, `leaving` or `gone`.
     pub state: String,
-    /// How live it looks.
+    /// Its health, as seen by the reporting node.
     pub health: MemberHealth,
-    /// The configuration it has in force.
+    /// The configuration version that it has in force.
     pub config: ConfigVersion,
 }
 
-/// A server as one of its owners sees it.
+/// A server, as seen by one of the nodes that own connections to it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ServerStatus {
     /// Its upstream.
@@ -75,38 +75,38 @@
     pub server: ServerAddress,
     /// Whether there is a connection.
     pub reachable: bool,
-    /// Whether it is leaving.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// Calls running.
+    /// Calls in flight from this node.
     pub in_flight: u32,
-    /// Calls that may run.
+    /// The most calls that this node may have in flight.
     pub limit: u32,
-    /// Connections open.
+    /// Open connections from this node.
     pub connections: u32,
 }
 
-/// One node's status: the answer of `GET /v1/status`.
+/// The answer of `GET /v1/status`: the status of a node.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct NodeStatus {
     /// The node.
     pub node: NodeId,
     /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// Whether it takes callers' work.
+    /// Whether it accepts requests of callers.
     pub ready: bool,
-    /// Why not.
+    /// The reason why it is not ready.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub unready_cause: Option<String>,
-    /// How far a planned stop has come.
+    /// The phase of its planned stop.
     pub phase: String,
-    /// The configuration in force.
+    /// The configuration version in force.
     pub config_version: ConfigVersion,
-    /// Milliseconds since that was last known to be the newest.
+    /// Milliseconds since that version was last confirmed to be the newest.
     pub config_age_ms: u64,
     /// Requests and batches in flight.
     pub in_flight: usize,
-    /// All nodes it knows.
+    /// All known nodes.
     pub members: Vec<MemberStatus>,
-    /// Servers it owns.
+    /// Servers to which it owns connections.
     pub servers: Vec<ServerStatus>,
 }
--- a/crates/model/src/routing.rs
+++ b/crates/model/src/routing.rs
@@ -1,4 +1,4 @@
-//! Routes and services as the platform declares them: which requests go to which servers.
+//! Routes, services, servers and nodes as they are registered in the platform.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -14,42 +14,42 @@
 use crate::team::TeamDirectory;
 use crate::units::{CoreShare, Priority};
 
-/// Whether a request may run more than once.
+/// Whether requests of a route may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub enum RouteKind {
-    /// It may run on several servers.
+    /// A request may run on several servers.
     Repeatable,
-    /// It runs at most once.
+    /// A request runs at most once.
     AtMostOnce,
 }
 
-/// The regions in which requests may be served and their bodies may travel.
+/// The regions in which requests may be served and to which their bodies may be sent.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
 pub enum AllowedRegions {
-    /// All of them.
+    /// All regions.
     #[default]
     Any,
-    /// Only these.
+    /// Only these regions.
     Only(Vec<RegionName>),
 }
 
 impl AllowedRegions {
-    /// The regions that an operator lists; an empty list binds nothing.
+    /// Creates the set from a list of the operator; an empty list allows all regions.
     pub fn from_list(regions: Vec<RegionName>) -> Self {
         if regions.is_empty() { Self::Any } else { Self::Only(regions) }
     }
 
-    /// The regions that these and others have in common.
-    pub fn intersect(&self, others: &Self) -> Self {
-        match (self, others) {
-            (Self::Any, homes) | (homes, Self::Any) => homes.clone(),
+    /// Returns the regions that both sets allow.
+    pub fn intersect(&self, other: &Self) -> Self {
+        match (self, other) {
+            (Self::Any, regions) | (regions, Self::Any) => regions.clone(),
             (Self::Only(regions), Self::Only(_)) => {
-                Self::Only(regions.iter().filter(|region| others.allows(Some(region))).cloned().collect())
+                Self::Only(regions.iter().filter(|region| other.allows(Some(region))).cloned().collect())
             }
         }
     }
 
-    /// Whether a region is among them; one that is not known is not, unless all are.
+    /// Whether a region is allowed; an unknown region is allowed only if all are.
     pub fn allows(&self, region: Option<&RegionName>) -> bool {
         match self {
             Self::Any => true,
@@ -58,32 +58,32 @@
     }
 }
 
-/// A service that takes a part of a route's requests.
+/// A service that receives a fraction of the requests of a route.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
-    /// Its share relative to the others.
+    /// Its weight relative to the other services.
     pub weight: f64,
 }
 
-/// How the answers of all shards become one.
+/// How a request is sent to all shards and their answers are merged into one.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct GatherSpec {
-    /// The shards: each is a service.
+    /// The shards, each of which is a service.
     pub shards: Vec<ServiceName>,
-    /// How many records the answer holds, the greatest first.
+    /// The most records in the answer, which starts with the greatest.
     pub top: usize,
-    /// The least share of shards that makes an answer, 0 to 1.
+    /// The smallest fraction of shards that makes an answer, 0 to 1.
     pub min_coverage: f64,
 }
 
-/// Where a route's requests go.
+/// The services that the requests of a route are sent to.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub enum RouteTarget {
-    /// To one service of these.
+    /// Each request goes to one of these services, chosen by weight.
     Split(Vec<WeightedService>),
-    /// To every shard.
+    /// Each request goes to all shards.
     Gather(GatherSpec),
 }
 
@@ -92,34 +92,34 @@
 pub struct RouteSpec {
     /// Its name.
     pub name: RouteName,
-    /// The host it belongs to, in lower case.
+    /// The host of its requests, in lower case.
     pub host: String,
-    /// The start of the paths it takes.
+    /// The prefix of the paths that it matches.
     pub path_prefix: String,
     /// Whether its requests may run more than once.
     pub kind: RouteKind,
-    /// How long a request may be held.
+    /// The longest time that a request may take.
     pub timeout: Duration,
-    /// The time within which an answer is worth most.
+    /// The time within which an answer has its full value.
     pub target_latency: Duration,
-    /// The most servers one request may be sent to; for shards, the most of each shard.
+    /// The most servers that one request may be sent to; with shards, the most of each shard.
     pub max_attempts: u32,
-    /// The rank of its requests, where their team has none.
+    /// The priority of its requests, unless their team sets one.
     pub priority: Priority,
-    /// Where its requests may be served.
+    /// The regions in which its requests may be served.
     pub allowed_regions: AllowedRegions,
-    /// Whether its requests need no key where others do.
+    /// Whether its requests need no API key where other routes require one.
     pub is_auth_exempt: bool,
-    /// Where its requests go.
+    /// The services that it sends requests to.
     pub target: RouteTarget,
 }
 
 impl RouteSpec {
-    /// The services it sends requests to.
+    /// Returns all services that it sends requests to.
     pub fn services(&self) -> Box<dyn Iterator<Item = &ServiceName> + '_> {
         match &self.target {
             RouteTarget::Split(parts) => Box::new(parts.iter().map(|part| &part.service)),
-            RouteTarget::Gather(fold) => Box::new(fold.shards.iter()),
+            RouteTarget::Gather(gather) => Box::new(gather.shards.iter()),
         }
     }
 }
@@ -129,63 +129,63 @@
 pub struct ServiceSpec {
     /// Its name.
     pub name: ServiceName,
-    /// Connections that one of its servers accepts from everybody together.
+    /// The most connections that one server accepts from all nodes together.
     pub max_connections: u32,
-    /// Where its servers tell their health.
+    /// The path of its servers' health check.
     pub health_path: String,
-    /// How long a server of it stays cold after it has started.
+    /// How long the warmup of a server takes after its start.
     pub warmup_duration: Duration,
-    /// Requests a second that a cold server bears; none if that is not bounded.
+    /// The most requests per second to a server during its warmup; `None` if they are not limited.
     pub warmup_rate: Option<f64>,
 }
 
-/// What callers may send.
+/// Limits on the requests and connections of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct CallerLimits {
-    /// The longest head of a request, in bytes.
+    /// The largest request head, in bytes.
     pub header_bytes: usize,
-    /// The longest body of a request, in bytes.
+    /// The largest request body, in bytes.
     pub body_bytes: usize,
-    /// How long a head may take to arrive.
+    /// The longest time that a request head may take to arrive.
     pub header_timeout: Duration,
-    /// How long a connection may rest between requests.
+    /// The longest time that a connection may be idle between requests.
     pub idle_timeout: Duration,
 }
 
-/// Why routes cannot be put in force.
+/// Error of building a route table.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum TableError {
-    /// Two routes have one host and prefix.
+    /// Two routes have the same host and prefix.
     #[error("route {0} has the host and prefix of another route")]
     DuplicatePrefix(RouteName),
-    /// A route names no service.
+    /// A route has no service.
     #[error("route {0} leads nowhere")]
     NoService(RouteName),
-    /// A route names one shard twice.
+    /// A route lists a shard twice.
     #[error("route {0} names a shard twice")]
     DuplicateShard(RouteName),
 }
 
-/// One version of all routes, whole.
+/// All routes of one version.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct RouteTable {
-    /// Its version.
+    /// The version.
     pub version: TableVersion,
     routes: Vec<Arc<RouteSpec>>,
-    /// Positions of each host's routes, the longest prefix first.
+    /// Positions in `routes` of the routes of each host, the longest prefix first.
     by_host: HashMap<String, Vec<usize>>,
     services: HashMap<ServiceName, ServiceSpec>,
-    /// The teams that may call; without any nobody needs a key.
+    /// The teams that may call; `None` if callers need no API key.
     teams: Option<TeamDirectory>,
-    /// What callers may send.
+    /// Limits on the requests and connections of callers.
     pub limits: CallerLimits,
 }
 
 impl RouteTable {
-    /// Checks and indexes the routes of a version.
+    /// Builds the table of a version and checks its routes.
     ///
     /// # Errors
-    /// The first route that cannot be served as written.
+    /// The first route that conflicts with another one or has invalid services.
     pub fn build(
         version: TableVersion,
         routes: Vec<RouteSpec>,
@@ -193,10 +193,10 @@
         limits: CallerLimits,
     ) -> Result<Self, TableError> {
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
-        let mut taken = HashSet::new();
+        let mut prefixes = HashSet::new();
         for (position, route) in routes.iter().enumerate() {
             check_route(route)?;
-            if !taken.insert((&route.host, &route.path_prefix)) {
+            if !prefixes.insert((&route.host, &route.path_prefix)) {
                 return Err(TableError::DuplicatePrefix(route.name.clone()));
             }
             by_host.entry(route.host.clone()).or_default().push(position);
@@ -209,7 +209,7 @@
         Ok(Self { version, routes, by_host, services, teams: None, limits })
     }
 
-    /// The services that requests of different priority use, by their routes or their teams.
+    /// Returns the services that receive requests of different priorities, by their routes or their teams.
     pub fn mixed_priority_services(&self) -> HashSet<ServiceName> {
         let mut by_service: HashMap<&ServiceName, HashSet<Priority>> = HashMap::new();
         for route in &self.routes {
@@ -222,38 +222,38 @@
         mixed.map(|(service, _)| service.clone()).collect()
     }
 
-    /// The priorities that requests of a route may have.
+    /// Returns the priorities that requests of a route may have.
     fn priorities(&self, route: &RouteSpec) -> HashSet<Priority> {
         let Some(teams) = &self.teams else { return HashSet::from([route.priority]) };
-        let of_teams = teams.teams().map(|team| team.priority.unwrap_or(route.priority));
-        let of_others = route.is_auth_exempt.then_some(route.priority);
-        of_teams.chain(of_others).collect()
+        let team_priorities = teams.teams().map(|team| team.priority.unwrap_or(route.priority));
+        let exempt_priority = route.is_auth_exempt.then_some(route.priority);
+        team_priorities.chain(exempt_priority).collect()
     }
 
-    /// The same routes, for which callers need a key of one of some teams.
+    /// Returns the same table, for which callers need an API key of one of these teams.
     #[must_use]
     pub fn with_teams(self, teams: TeamDirectory) -> Self {
         Self { teams: Some(teams), ..self }
     }
 
-    /// The teams that may call; `None` where nobody needs a key.
+    /// Returns the teams that may call; `None` if callers need no API key.
     pub fn teams(&self) -> Option<&TeamDirectory> {
         self.teams.as_ref()
     }
 
-    /// The route of a request: among its host's, the one with the longest prefix of the path.
+    /// Finds the route of a request: of the routes of its host the one with the longest prefix of its path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteSpec>> {
         let positions = self.by_host.get(host)?;
         let mut routes = positions.iter().map(|position| &self.routes[*position]);
         routes.find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// All routes.
+    /// Returns all routes.
     pub fn routes(&self) -> &[Arc<RouteSpec>] {
         &self.routes
     }
 
-    /// A service that the routes may name.
+    /// Finds a service by its name.
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceSpec> {
         self.services.get(name)
     }
@@ -263,75 +263,75 @@
     if route.services().next().is_none() {
         return Err(TableError::NoService(route.name.clone()));
     }
-    if let RouteTarget::Gather(fold) = &route.target {
-        let distinct: HashSet<_> = fold.shards.iter().collect();
-        if distinct.len() < fold.shards.len() {
+    if let RouteTarget::Gather(gather) = &route.target {
+        let distinct: HashSet<_> = gather.shards.iter().collect();
+        if distinct.len() < gather.shards.len() {
             return Err(TableError::DuplicateShard(route.name.clone()));
         }
     }
     Ok(())
 }
 
-/// A server as it registered itself.
+/// The entry that a server registers for itself.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct ServerEntry {
-    /// Its name.
+    /// Its id.
     pub id: ServerId,
-    /// Which run of it wrote the entry.
+    /// The start time of the run that wrote the entry.
     pub start: ServerStart,
     /// The service it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: FailureDomain,
-    /// Requests it works on at the same time.
+    /// The most requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether it is draining before it shuts down.
     pub is_draining: bool,
-    /// How much longer it is slow from its start, as of the entry's writing.
+    /// The rest of its warmup at the time when the entry was written.
     pub warmup: Duration,
 }
 
 impl ServerEntry {
-    /// The run that wrote it.
+    /// Returns the run that wrote the entry.
     pub fn run(&self) -> ServerRun {
         ServerRun { id: self.id.clone(), start: self.start }
     }
 }
 
-/// A node as it registered itself for the others.
+/// The entry that a node registers for the other nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct NodeEntry {
     /// The node.
     pub node: NodeId,
-    /// Its run.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its failure domain.
     pub domain: FailureDomain,
-    /// Where its peers' port listens.
+    /// The address on which it listens for other nodes.
     pub peer_address: SocketAddr,
-    /// The processor it has; a node of an older version does not tell.
+    /// Its CPU share; `None` for nodes of an older version, which do not report it.
     pub cpu_share: Option<CoreShare>,
 }
 
-/// A content that ended servers, as all nodes are told.
+/// Content of requests that crashed servers, as shared with all nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct CrashEntry {
-    /// What the requests ask for.
+    /// The content of the requests.
     pub content: ContentId,
-    /// Runs of servers that ended under it, the first few.
+    /// The first few server runs that crashed under it.
     pub crashed: Vec<ServerRun>,
-    /// How often it was tried again at one server since it is held off.
+    /// How often it was tried again at a single server since its quarantine began.
     pub trials: u32,
 }
 
 impl CrashEntry {
-    /// Adds servers that ended under it; whether there were any more.
+    /// Adds server runs that crashed under it; returns whether any of them was new.
     pub fn add_crashed(&mut self, servers: &[ServerRun]) -> bool {
-        let known = self.crashed.len();
-        let more = servers.iter().filter(|server| !self.crashed.contains(server)).cloned();
-        self.crashed = self.crashed.iter().cloned().chain(more).collect();
-        self.crashed.len() > known
+        let count = self.crashed.len();
+        let added = servers.iter().filter(|server| !self.crashed.contains(server)).cloned();
+        self.crashed = self.crashed.iter().cloned().chain(added).collect();
+        self.crashed.len() > count
     }
 }
--- a/crates/model/src/server.rs
+++ b/crates/model/src/server.rs
@@ -1,34 +1,34 @@
-//! The protocol towards servers: header names and the texts in them.
+//! The protocol between nodes and servers: header names and their values.
 //!
-//! One `POST /v1/shards/{index}/{query|order}` for all shards wanted at a server. The
-//! answer's body is a JSON object of results by shard.
+//! A node sends one `POST /v1/shards/{index}/{query|order}` to a server for all the shards that it requests there. The
+//! body of the answer is a JSON object with the results by shard.
 
 use crate::ids::ShardId;
 
-/// Header out: the request's id.
+/// Request header: the id of the request.
 pub const SERVER_HEADER_REQUEST: &str = "streamfold-request";
-/// Header out and back: the attempt's id, which the answer must echo.
+/// Request and response header: the id of the attempt, which the answer must echo.
 pub const SERVER_HEADER_ATTEMPT: &str = "streamfold-attempt";
-/// Header out: the shards wanted, such as `0-3,7`.
+/// Request header: the requested shards, such as `0-3,7`.
 pub const SERVER_HEADER_SHARDS: &str = "streamfold-shards";
-/// Header out: the wanted index version. Back: the version answered from.
+/// Request header: the requested index version. Response header: the index version of the answer.
 pub const SERVER_HEADER_VERSION: &str = "streamfold-index-version";
-/// Header out: microseconds left to the deadline.
+/// Request header: microseconds left until the deadline.
 pub const SERVER_HEADER_DEADLINE: &str = "streamfold-deadline-us";
-/// Header out: the key of a request that is not repeatable.
+/// Request header: the idempotency key of a request that is not repeatable.
 pub const SERVER_HEADER_KEY: &str = "idempotency-key";
-/// Header back: oldest and newest version held, such as `3-9`.
+/// Response header: the oldest and the newest index version that the server holds, such as `3-9`.
 pub const SERVER_HEADER_HELD: &str = "streamfold-held";
-/// Header back: load, 0 to 1.
+/// Response header: the load of the server, 0 to 1.
 pub const SERVER_HEADER_LOAD: &str = "streamfold-load";
-/// Header back: `true` once the server is leaving.
+/// Response header: `true` once the server is shutting down.
 pub const SERVER_HEADER_DRAINING: &str = "streamfold-draining";
-/// Header back: which run of the server process answers.
+/// Response header: the incarnation of the server process that answers.
 pub const SERVER_HEADER_INCARNATION: &str = "streamfold-incarnation";
-/// Header back: `not_run` where the server certainly did not run the request.
+/// Response header: `not_run` if the server certainly did not run the request.
 pub const SERVER_HEADER_RAN: &str = "streamfold-ran";
 
-/// Writes shards as ranges: `0-3,7`.
+/// Formats sorted shards as ranges, such as `0-3,7`.
 pub fn format_shards(shards: &[ShardId]) -> String {
     use std::fmt::Write;
     let mut text = String::new();
@@ -47,13 +47,13 @@
     text
 }
 
-/// Reads what [`format_shards`] wrote; `None` where it is malformed or names over `most` shards.
-pub fn parse_shards(text: &str, most: usize) -> Option<Vec<ShardId>> {
+/// Parses the format of [`format_shards`]; `None` if it is malformed or has more than `limit` shards.
+pub fn parse_shards(text: &str, limit: usize) -> Option<Vec<ShardId>> {
     let mut shards = Vec::new();
     for part in text.split(',') {
         let (first, last) = part.split_once('-').unwrap_or((part, part));
         let (first, last): (u32, u32) = (first.parse().ok()?, last.parse().ok()?);
-        if first > last || (last - first) as usize >= most.saturating_sub(shards.len()) {
+        if first > last || (last - first) as usize >= limit.saturating_sub(shards.len()) {
             return None;
         }
         shards.extend((first..=last).map(ShardId));
--- a/crates/model/src/team.rs
+++ b/crates/model/src/team.rs
@@ -1,4 +1,4 @@
-//! Teams that call routes: their keys, where their requests may be served and how many they may send.
+//! Teams that call routes: their API keys, allowed regions and rate limits.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -11,12 +11,12 @@
 use crate::routing::AllowedRegions;
 use crate::units::Priority;
 
-/// A caller's key as it is kept and compared: a digest from which nobody can tell the key.
+/// SHA-256 digest of an API key. Keys are stored and compared only as digests, which do not reveal them.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// The digest of a key as its caller shows it.
+    /// Computes the digest of the key that a caller sends.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
@@ -28,49 +28,49 @@
     }
 }
 
-/// How many requests a team may send, counted over all nodes.
+/// Rate limit of a team, counted over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Encode, Decode)]
 pub struct UsageLimit {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests on top of the rate.
+    /// Requests that may exceed the rate in a burst.
     pub burst: f64,
 }
 
 /// A team.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct TeamSpec {
-    /// Its name, which servers are told.
+    /// Its name, which is sent to servers.
     pub name: TeamName,
-    /// The rank of its requests in place of their route's.
+    /// The priority of its requests, which replaces that of the route.
     pub priority: Option<Priority>,
-    /// Where its requests may be served, within what their route allows.
+    /// The regions in which its requests may be served, of those that the route allows.
     pub allowed_regions: AllowedRegions,
-    /// How many requests it may send; without a limit any number.
+    /// Its rate limit; `None` if it has none.
     pub limit: Option<UsageLimit>,
 }
 
-/// A team's keys.
+/// A team and its API keys.
 #[derive(Debug, Clone)]
 pub struct TeamKeys {
     /// The team.
     pub team: TeamSpec,
-    /// Its keys.
+    /// The digests of its keys.
     pub keys: Vec<KeyDigest>,
 }
 
-/// Why teams cannot be put in force.
+/// Error of building a team directory.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum TeamError {
-    /// Two teams have one name.
+    /// Two teams have the same name.
     #[error("team {0} is there twice")]
     DuplicateName(TeamName),
-    /// Two teams have one key.
+    /// Two teams have the same key.
     #[error("team {0} has a key of another team")]
     DuplicateKey(TeamName),
 }
 
-/// The teams of one version of the routes, by their keys.
+/// The teams of one version of the routes, with lookup by API key.
 #[derive(Debug, Clone, Default, PartialEq, Encode, Decode)]
 pub struct TeamDirectory {
     teams: Vec<Arc<TeamSpec>>,
@@ -78,10 +78,10 @@
 }
 
 impl TeamDirectory {
-    /// Checks and indexes teams.
+    /// Builds the directory and checks that names and keys are unique.
     ///
     /// # Errors
-    /// The first team that another one contradicts.
+    /// The first team whose name or key another team has.
     pub fn build(listed: Vec<TeamKeys>) -> Result<Self, TeamError> {
         let mut directory = Self::default();
         for (position, TeamKeys { team, keys }) in listed.into_iter().enumerate() {
@@ -98,22 +98,22 @@
         Ok(directory)
     }
 
-    /// The team that holds a key.
+    /// Finds the team that has this key.
     pub fn find(&self, key: &KeyDigest) -> Option<&Arc<TeamSpec>> {
         self.by_key.get(key).map(|position| &self.teams[*position])
     }
 
-    /// The team of a name.
+    /// Finds a team by its name.
     pub fn find_by_name(&self, name: &TeamName) -> Option<&Arc<TeamSpec>> {
         self.teams.iter().find(|team| team.name == *name)
     }
 
-    /// All teams.
+    /// Returns all teams.
     pub fn teams(&self) -> impl Iterator<Item = &TeamSpec> {
         self.teams.iter().map(|team| &**team)
     }
 
-    /// Whether any team's requests are limited.
+    /// Whether any team has a rate limit.
     pub fn has_limits(&self) -> bool {
         self.teams.iter().any(|team| team.limit.is_some())
     }
--- a/crates/model/src/units.rs
+++ b/crates/model/src/units.rs
@@ -1,4 +1,4 @@
-//! Sizes, rates and spans of time as they stand in settings and configuration.
+//! Sizes, rates, durations and CPU shares as written in settings and configuration files.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,7 +7,7 @@
 use bincode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// Why a text is not a size, a rate or a span of time.
+/// Error of parsing a value with a unit.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{text:?} is not a {kind}; write it like {example}")]
 pub struct ParseUnitError {
@@ -54,16 +54,16 @@
     };
 }
 
-/// A span of time, read as `250us`, `20ms` or `1.5s`.
+/// A duration, written like `250us`, `20ms` or `1.5s`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct TimeSpan(pub Duration);
 
-/// The longest span accepted: a day.
+/// The longest accepted duration: one day.
 const MAX_SPAN_SECONDS: f64 = 86_400.0;
 
 impl TimeSpan {
-    /// A span of whole milliseconds.
+    /// Creates a duration from milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         Self(Duration::from_millis(millis))
     }
@@ -92,7 +92,7 @@
     }
 }
 
-/// A number of bytes, read as `512B`, `64KB` or `16MB` (1 KB is 1,024 bytes).
+/// A number of bytes, written like `512B`, `64KB` or `16MB` (1 KB is 1,024 bytes).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ByteSize(pub u64);
@@ -109,7 +109,7 @@
 });
 
 impl ByteSize {
-    /// The size as a `usize`, for comparing with lengths in memory.
+    /// The size as a `usize`, for comparison with lengths in memory.
     pub fn as_usize(self) -> usize {
         usize::try_from(self.0).unwrap_or(usize::MAX)
     }
@@ -127,7 +127,7 @@
     }
 }
 
-/// Calls a second, read as `500/s`.
+/// Calls per second, written like `500/s`.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct CallRate(pub f64);
@@ -140,7 +140,7 @@
     }
 }
 
-/// A part of a processor core, in thousandths; read as `0.25`.
+/// A CPU share in thousandths of a core, written as a number of cores like `0.25`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, Encode, Decode)]
 #[serde(try_from = "String", into = "String")]
 pub struct CoreShare(pub u32);
@@ -152,7 +152,7 @@
 });
 
 impl CoreShare {
-    /// How long work takes that a whole core does in a time.
+    /// How long work takes at this share, given its duration on a whole core.
     pub fn time_for(self, work: Duration) -> Duration {
         work.mul_f64(1e3 / f64::from(self.0.max(1)))
     }
@@ -164,7 +164,7 @@
     }
 }
 
-/// The rank of work: 0 goes before all others.
+/// The priority of a request; 0 is the highest.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Priority(pub u32);
 
--- a/crates/model/tests/routing.rs
+++ b/crates/model/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Which services requests of different priority use.
+//! Tests which services receive requests of different priorities.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -55,25 +55,25 @@
 }
 
 #[test]
-fn priorities_are_mixed_only_where_they_meet_at_a_service() {
+fn a_service_has_mixed_priorities_only_if_routes_of_different_priority_share_it() {
     assert!(!is_mixed(&table(vec![route("a", 0, &["x", "y"]), route("b", 1, &["z"])])));
     assert!(!is_mixed(&table(vec![route("a", 1, &["x", "y"]), route("b", 1, &["y"])])));
     let table = table(vec![route("a", 0, &["x", "y"]), route("b", 1, &["y"])]);
     assert_eq!(
         table.mixed_priority_services(),
         HashSet::from(["y".parse().expect("a name")]),
-        "and not the others of the route"
+        "only the shared service of the route"
     );
 }
 
 #[test]
-fn teams_mix_priorities_or_make_them_one() {
+fn priorities_of_teams_replace_those_of_routes() {
     let mixed = || table(vec![route("a", 0, &["x"]), route("b", 1, &["x"])]);
-    let even = || table(vec![route("a", 1, &["x"])]);
+    let uniform = || table(vec![route("a", 1, &["x"])]);
     assert!(!is_mixed(&mixed().with_teams(teams(&[Some(2), Some(2)]))));
     assert!(is_mixed(&mixed().with_teams(teams(&[Some(2), None]))));
-    assert!(is_mixed(&even().with_teams(teams(&[Some(2), Some(1)]))));
-    assert!(!is_mixed(&even().with_teams(teams(&[Some(1), None]))));
-    let open = RouteSpec { is_auth_exempt: true, ..route("a", 1, &["x"]) };
-    assert!(is_mixed(&table(vec![open]).with_teams(teams(&[Some(2)]))));
+    assert!(is_mixed(&uniform().with_teams(teams(&[Some(2), Some(1)]))));
+    assert!(!is_mixed(&uniform().with_teams(teams(&[Some(1), None]))));
+    let auth_exempt = RouteSpec { is_auth_exempt: true, ..route("a", 1, &["x"]) };
+    assert!(is_mixed(&table(vec![auth_exempt]).with_teams(teams(&[Some(2)]))));
 }
