--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,7 +1,8 @@
-//! Admission at an entry node: a rate and a number of running requests for each caller, and
-//! a limit on all of them that follows how long work waits for slots. Waiting is bounded;
-//! slots go to the caller with the fewest running, and of its requests to the one with the
-//! earliest deadline. Whatever cannot finish in time is refused at once: it did not run.
+//! Admission control at an entry node: a rate limit and a concurrency limit for each caller, and an adaptive
+//! concurrency limit on all requests that follows how long work waits for server slots.
+//!
+//! The queue is bounded. A free slot goes to the caller with the fewest running requests, and among its requests to the
+//! one with the earliest deadline. A request that cannot finish in time is refused at once and does not run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,89 +11,91 @@
 
 use crate::moment::Moment;
 
-/// Seconds of its rate that a caller may use at once after being quiet.
+/// Size of a token bucket, in seconds of its rate: what a caller may use at once after being idle.
 const BURST_SECONDS: f64 = 1.0;
-/// The limit on running requests at first, and its bounds.
-const FIRST_LIMIT: f64 = 16.0;
+/// Initial value and bounds of the concurrency limit.
+const INITIAL_LIMIT: f64 = 16.0;
 const MIN_LIMIT: f64 = 4.0;
 const MAX_LIMIT: f64 = 10_000.0;
-/// How often the limit is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
-/// Requests that must have ended before the limit moves.
+/// Minimum time between two adjustments of the limit.
+const ADJUST_INTERVAL: Duration = Duration::from_millis(50);
+/// Requests that must have ended since the last adjustment before the limit is adjusted again.
 const MIN_SAMPLES: u32 = 8;
-/// Waiting for a slot as a share of the time served: above the first the limit falls, below
-/// the second it may rise.
-const HIGH_WAIT: f64 = 0.75;
-const LOW_WAIT: f64 = 0.4;
-/// How the limit moves: it falls by how far the waiting is over its bound, at most by half.
-const MAX_FALL: f64 = 0.5;
-const RISE_FACTOR: f64 = 1.03;
-/// Share of a new sample in the typical duration of a request.
+/// Time waited for slots as a share of the time served. The limit falls above `HIGH_WAIT_SHARE` and may rise below
+/// `LOW_WAIT_SHARE`.
+const HIGH_WAIT_SHARE: f64 = 0.75;
+const LOW_WAIT_SHARE: f64 = 0.4;
+/// The smallest factor of one decrease (by half). The factor is the square root of `HIGH_WAIT_SHARE` over the measured
+/// share.
+const MIN_DECREASE_FACTOR: f64 = 0.5;
+/// The factor of one increase, to which one is added.
+const INCREASE_FACTOR: f64 = 1.03;
+/// Weight of a new sample in the moving average of request durations.
 const DURATION_GAIN: f64 = 0.05;
 
-/// Why a request is not admitted; it did not run.
+/// Why a request is not admitted. It did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionRefusal {
-    /// The caller is over its rate; ask again after the span.
+    /// The caller is over its rate; it may retry after this time.
     OverRate(Duration),
-    /// The caller has too many requests running.
+    /// The caller has too many requests running or queued.
     OverConcurrency,
-    /// There is more work than can be done in time; ask again after the span.
+    /// The node has more work than it can finish in time; the caller may retry after this time.
     Overloaded(Duration),
 }
 
-/// A request that asks to be let in.
+/// A request for admission.
 #[derive(Debug, Clone)]
 pub struct AdmissionRequest {
-    /// Who asks.
+    /// The caller.
     pub caller: CallerName,
-    /// Its requests a second at this node.
+    /// The caller's rate limit at this node, in requests per second.
     pub rate: f64,
-    /// Its requests running at this node.
+    /// The caller's limit on running and queued requests at this node.
     pub concurrency: u32,
-    /// When its answer is worth nothing any more.
+    /// When the answer no longer has any value.
     pub deadline: Moment,
 }
 
-/// What became of an ask.
+/// The result of [`AdmissionControl::admit`].
 #[derive(Debug, PartialEq, Eq)]
 pub enum Admission<T> {
-    /// It may run.
+    /// The request may run.
     Started,
-    /// It waits under this number.
+    /// The request is queued under this number.
     Waiting(u64),
-    /// It waits under this number in place of another, which is given up.
+    /// The request is queued under this number and displaces another one, whose tag is returned.
     Displaced(u64, T),
-    /// It is refused.
+    /// The request is refused.
     Refused(AdmissionRefusal),
 }
 
-/// How the work of one request went, as far as admission cares.
+/// The times of one request's work from which the limit is adjusted.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct WorkReport {
-    /// Time its pieces waited for slots, summed up.
+    /// Total time that its pieces of work waited for slots.
     pub waited: Duration,
-    /// Time its pieces were served, summed up.
+    /// Total time that its pieces of work were served.
     pub served: Duration,
 }
 
-/// Tokens for a rate.
+/// A token bucket that refills at a rate and starts full.
 #[derive(Debug, Clone, Default)]
 pub struct TokenBucket {
     tokens: Option<f64>,
-    filled: Moment,
+    last_refill: Moment,
 }
 
 impl TokenBucket {
-    /// Takes a token, or tells how long until there is one. `rate` is tokens a second.
+    /// Takes a token. `rate` is in tokens per second.
     ///
     /// # Errors
     /// The time until the next token.
     pub fn take(&mut self, now: Moment, rate: f64) -> Result<(), Duration> {
         let burst = (rate * BURST_SECONDS).max(1.0);
-        let earned = now.since(self.filled).as_secs_f64() * rate;
+        let earned = now.since(self.last_refill).as_secs_f64() * rate;
         let tokens = self.tokens.map_or(burst, |tokens| (tokens + earned).min(burst));
-        self.filled = now;
+        self.last_refill = now;
         if tokens < 1.0 {
             self.tokens = Some(tokens);
             return Err(Duration::from_secs_f64((1.0 - tokens) / rate));
@@ -102,121 +105,125 @@
     }
 }
 
+/// The requests of one caller.
 #[derive(Debug)]
-struct CallerLane<T> {
+struct CallerState<T> {
     rate: TokenBucket,
     running: u32,
+    /// Queued requests by deadline and number.
     waiting: BTreeMap<(Moment, u64), T>,
 }
 
-impl<T> Default for CallerLane<T> {
+impl<T> Default for CallerState<T> {
     fn default() -> Self {
         Self { rate: TokenBucket::default(), running: 0, waiting: BTreeMap::new() }
     }
 }
 
-/// The admission of one entry node.
+/// Admission control of one entry node.
 #[derive(Debug)]
 pub struct AdmissionControl<T> {
-    lanes: BTreeMap<CallerName, CallerLane<T>>,
+    callers: BTreeMap<CallerName, CallerState<T>>,
     is_limited: bool,
     limit: f64,
     running: u32,
     waiting: usize,
     next_number: u64,
-    duration_us: f64,
-    looked: Moment,
+    mean_duration_us: f64,
+    last_adjusted: Moment,
     was_full: bool,
-    peak: u32,
+    peak_running: u32,
     samples: u32,
     waited: Duration,
     served: Duration,
 }
 
 impl<T> AdmissionControl<T> {
-    /// A gate; without `is_limited` only callers' own rates and concurrencies count.
+    /// Creates admission control; without `is_limited` only the limits of each caller apply.
     pub fn new(is_limited: bool) -> Self {
         Self {
-            lanes: BTreeMap::new(),
+            callers: BTreeMap::new(),
             is_limited,
-            limit: FIRST_LIMIT,
+            limit: INITIAL_LIMIT,
             running: 0,
             waiting: 0,
             next_number: 0,
-            duration_us: 0.0,
-            looked: Moment::default(),
+            mean_duration_us: 0.0,
+            last_adjusted: Moment::default(),
             was_full: false,
-            peak: 0,
+            peak_running: 0,
             samples: 0,
             waited: Duration::ZERO,
             served: Duration::ZERO,
         }
     }
 
-    /// Requests that may run at once now.
+    /// The current concurrency limit.
     pub fn limit(&self) -> u32 {
         self.limit as u32
     }
 
-    /// Requests running.
+    /// The number of running requests.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Requests waiting.
+    /// The number of queued requests.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    fn has_room(&self) -> bool {
+    fn has_capacity(&self) -> bool {
         !self.is_limited || self.running < self.limit()
     }
 
-    /// How long a request that comes now waits, by what ended lately.
+    /// The expected queueing time of a new request, by the recent request durations.
     fn expected_wait(&self) -> Duration {
-        let turns = (self.waiting as f64 + 1.0) / self.limit;
-        Duration::from_micros((turns * self.duration_us) as u64)
+        let rounds = (self.waiting as f64 + 1.0) / self.limit;
+        Duration::from_micros((rounds * self.mean_duration_us) as u64)
     }
 
-    fn typical(&self) -> Duration {
-        Duration::from_micros(self.duration_us as u64)
+    /// The moving average of request durations.
+    fn typical_duration(&self) -> Duration {
+        Duration::from_micros(self.mean_duration_us as u64)
     }
 
-    /// Takes one of a caller's tokens for work that needs no place.
+    /// Takes one of a caller's tokens for work that does not count against the concurrency limits.
     ///
     /// # Errors
     /// The time until the next token.
     pub fn take_rate(&mut self, now: Moment, caller: &CallerName, rate: f64) -> Result<(), Duration> {
-        self.lanes.entry(caller.clone()).or_default().rate.take(now, rate)
+        self.callers.entry(caller.clone()).or_default().rate.take(now, rate)
     }
 
-    /// Asks to let a request in; `tag` is kept while it waits.
-    pub fn admit(&mut self, now: Moment, ask: &AdmissionRequest, tag: T) -> Admission<T> {
-        let has_room = self.has_room() && self.waiting == 0;
-        let lane = self.lanes.entry(ask.caller.clone()).or_default();
-        if let Err(wait) = lane.rate.take(now, ask.rate) {
+    /// Admits, queues or refuses a request; `tag` is kept while it is queued.
+    pub fn admit(&mut self, now: Moment, request: &AdmissionRequest, tag: T) -> Admission<T> {
+        let has_capacity = self.has_capacity() && self.waiting == 0;
+        let state = self.callers.entry(request.caller.clone()).or_default();
+        if let Err(wait) = state.rate.take(now, request.rate) {
             return Admission::Refused(AdmissionRefusal::OverRate(wait));
         }
-        if lane.running + lane.waiting.len() as u32 >= ask.concurrency {
+        if state.running + state.waiting.len() as u32 >= request.concurrency {
             return Admission::Refused(AdmissionRefusal::OverConcurrency);
         }
-        if has_room {
-            lane.running += 1;
+        if has_capacity {
+            state.running += 1;
             self.running += 1;
-            self.peak = self.peak.max(self.running);
+            self.peak_running = self.peak_running.max(self.running);
             return Admission::Started;
         }
         self.was_full = true;
         let wait = self.expected_wait();
-        if now.plus(wait + self.typical()) > ask.deadline {
+        if now.plus(wait + self.typical_duration()) > request.deadline {
             return Admission::Refused(AdmissionRefusal::Overloaded(wait));
         }
-        self.queue(ask, tag, wait)
+        self.enqueue(request, tag, wait)
     }
 
-    fn queue(&mut self, ask: &AdmissionRequest, tag: T, wait: Duration) -> Admission<T> {
+    /// Queues a request; if the queue is full, it takes the place of one of another caller or is refused.
+    fn enqueue(&mut self, request: &AdmissionRequest, tag: T, wait: Duration) -> Admission<T> {
         let displaced = if self.waiting >= self.limit() as usize {
-            match self.displace(&ask.caller) {
+            match self.displace(&request.caller) {
                 Some(tag) => Some(tag),
                 None => return Admission::Refused(AdmissionRefusal::Overloaded(wait)),
             }
@@ -226,36 +233,36 @@
         let number = self.next_number;
         self.next_number += 1;
         self.waiting += 1;
-        let lane = self.lanes.entry(ask.caller.clone()).or_default();
-        lane.waiting.insert((ask.deadline, number), tag);
+        let state = self.callers.entry(request.caller.clone()).or_default();
+        state.waiting.insert((request.deadline, number), tag);
         match displaced {
             Some(tag) => Admission::Displaced(number, tag),
             None => Admission::Waiting(number),
         }
     }
 
-    /// Makes room in the queue at the cost of the caller that has most waiting, if that is
-    /// more than the asking caller has.
+    /// Removes the queued request with the latest deadline of the caller that has the most queued, if that caller has
+    /// at least two more than `caller`.
     fn displace(&mut self, caller: &CallerName) -> Option<T> {
-        let own = self.lanes.get(caller).map_or(0, |lane| lane.waiting.len());
-        let longest = self.lanes.values_mut().max_by_key(|lane| lane.waiting.len())?;
-        if longest.waiting.len() <= own + 1 {
+        let own_waiting = self.callers.get(caller).map_or(0, |state| state.waiting.len());
+        let busiest = self.callers.values_mut().max_by_key(|state| state.waiting.len())?;
+        if busiest.waiting.len() <= own_waiting + 1 {
             return None;
         }
-        let (_, tag) = longest.waiting.pop_last()?;
+        let (_, tag) = busiest.waiting.pop_last()?;
         self.waiting -= 1;
         Some(tag)
     }
 
-    /// Takes a waiting request out again; false if it was started or displaced before.
+    /// Removes a queued request; false if it already started or was displaced.
     pub fn cancel(&mut self, caller: &CallerName, deadline: Moment, number: u64) -> bool {
-        let Some(lane) = self.lanes.get_mut(caller) else { return false };
-        let removed = lane.waiting.remove(&(deadline, number)).is_some();
-        self.waiting -= usize::from(removed);
-        removed
+        let Some(state) = self.callers.get_mut(caller) else { return false };
+        let is_removed = state.waiting.remove(&(deadline, number)).is_some();
+        self.waiting -= usize::from(is_removed);
+        is_removed
     }
 
-    /// Notes that an admitted request ended and returns the waiting ones that start now.
+    /// Records that an admitted request ended and returns the queued requests that start now.
     pub fn finish(
         &mut self,
         now: Moment,
@@ -263,50 +270,51 @@
         took: Duration,
         report: WorkReport,
     ) -> Vec<(CallerName, T)> {
-        if let Some(lane) = self.lanes.get_mut(caller) {
-            lane.running = lane.running.saturating_sub(1);
+        if let Some(state) = self.callers.get_mut(caller) {
+            state.running = state.running.saturating_sub(1);
         }
         self.running = self.running.saturating_sub(1);
         if !report.served.is_zero() {
             let sample = took.as_micros() as f64;
-            let gain = if self.duration_us == 0.0 { 1.0 } else { DURATION_GAIN };
-            self.duration_us += gain * (sample - self.duration_us);
+            let gain = if self.mean_duration_us == 0.0 { 1.0 } else { DURATION_GAIN };
+            self.mean_duration_us += gain * (sample - self.mean_duration_us);
             self.samples += 1;
             self.waited += report.waited;
             self.served += report.served;
         }
-        self.look(now);
+        self.adjust_limit(now);
         self.start_waiting()
     }
 
-    /// Moves the limit by how long work waited for slots since the last look.
-    fn look(&mut self, now: Moment) {
-        if now.since(self.looked) < LOOK_EVERY || self.samples < MIN_SAMPLES {
+    /// Adjusts the limit by how long work waited for slots since the last adjustment.
+    fn adjust_limit(&mut self, now: Moment) {
+        if now.since(self.last_adjusted) < ADJUST_INTERVAL || self.samples < MIN_SAMPLES {
             return;
         }
-        let share = self.waited.as_secs_f64() / self.served.as_secs_f64().max(1e-9);
-        if share > HIGH_WAIT {
-            let fall = (HIGH_WAIT / share).sqrt().max(MAX_FALL);
-            let in_use = self.limit.min(f64::from(self.peak));
-            self.limit = (in_use * fall).max(MIN_LIMIT);
-        } else if share < LOW_WAIT && self.was_full {
-            self.limit = (self.limit * RISE_FACTOR + 1.0).min(MAX_LIMIT);
+        let wait_share = self.waited.as_secs_f64() / self.served.as_secs_f64().max(1e-9);
+        if wait_share > HIGH_WAIT_SHARE {
+            let factor = (HIGH_WAIT_SHARE / wait_share).sqrt().max(MIN_DECREASE_FACTOR);
+            let in_use = self.limit.min(f64::from(self.peak_running));
+            self.limit = (in_use * factor).max(MIN_LIMIT);
+        } else if wait_share < LOW_WAIT_SHARE && self.was_full {
+            self.limit = (self.limit * INCREASE_FACTOR + 1.0).min(MAX_LIMIT);
         }
-        self.looked = now;
+        self.last_adjusted = now;
         self.was_full = false;
-        self.peak = self.running;
+        self.peak_running = self.running;
         self.samples = 0;
         self.waited = Duration::ZERO;
         self.served = Duration::ZERO;
     }
 
+    /// Starts queued requests while there is capacity, those of the caller with the fewest running first.
     fn start_waiting(&mut self) -> Vec<(CallerName, T)> {
         let mut started = Vec::new();
-        while self.has_room() && self.waiting > 0 {
-            let waiting = self.lanes.iter_mut().filter(|(_, lane)| !lane.waiting.is_empty());
-            let Some((caller, lane)) = waiting.min_by_key(|(_, lane)| lane.running) else { break };
-            let Some((_, tag)) = lane.waiting.pop_first() else { break };
-            lane.running += 1;
+        while self.has_capacity() && self.waiting > 0 {
+            let waiting = self.callers.iter_mut().filter(|(_, state)| !state.waiting.is_empty());
+            let Some((caller, state)) = waiting.min_by_key(|(_, state)| state.running) else { break };
+            let Some((_, tag)) = state.waiting.pop_first() else { break };
+            state.running += 1;
             self.running += 1;
             self.waiting -= 1;
             started.push((caller.clone(), tag));
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,5 +1,5 @@
-//! The queue an owner keeps for one upstream. Work is bound to a server only when a slot
-//! frees (late binding), the earliest deadline first; expired work is dropped.
+//! The deadline-ordered queue that an owner keeps for one upstream. Work is bound to a server only when a slot frees
+//! (late binding), the earliest deadline first; expired work is dropped.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,45 +17,45 @@
 use crate::server::{CallReport, ServerState};
 use crate::wait_queue::{WaitId, WaitQueue};
 
-/// Hedges a quiet upstream may make at once.
+/// The hedge budget's capacity: the hedges that an upstream with little traffic may send at once.
 const HEDGE_RESERVE: f64 = 3.0;
-/// A server that answered within this span counts as alive.
-const ALIVE_SPAN: Duration = Duration::from_millis(500);
-/// Samples wanted before a quantile of the latency means something.
-const HEDGE_SAMPLES: u32 = 20;
+/// A server that answered within this time counts as alive.
+const ALIVE_WINDOW: Duration = Duration::from_millis(500);
+/// Latency samples required before a quantile is meaningful; until then no call is hedged.
+const MIN_HEDGE_SAMPLES: u32 = 20;
 
-/// What a piece of work needs of a server.
+/// The requirements of a piece of work on its server.
 #[derive(Debug, Clone)]
 pub struct WorkItem {
-    /// The index asked.
+    /// The queried index.
     pub index: IndexName,
-    /// The version wanted, if pinned.
+    /// The required index version, if the query is pinned to one.
     pub version: Option<IndexVersion>,
-    /// When it is worth nothing any more.
+    /// When its result no longer has any value; work that is still queued then is dropped.
     pub deadline: Moment,
-    /// A server to keep away from if another can take it.
+    /// The index of a server to avoid if another one can take the work.
     pub avoid: Option<usize>,
 }
 
-/// What became of submitted work.
+/// The result of [`UpstreamQueue::submit`].
 #[derive(Debug, PartialEq, Eq)]
 pub enum QueueSubmission<T> {
-    /// It starts now on this server.
+    /// The work starts now on the server with this index.
     Started(usize, T),
-    /// It waits in this place, to be given to [`UpstreamQueue::cancel`].
+    /// The work is queued; the id cancels it in [`UpstreamQueue::cancel`].
     Waiting(WaitId),
-    /// No server holds the version any more.
+    /// No remaining server holds the required version any more.
     VersionGone(T),
-    /// Every server is leaving.
+    /// Every server is leaving (draining).
     Leaving(T),
 }
 
-/// Waiting work that starts now.
+/// Queued work that starts now.
 #[derive(Debug, PartialEq, Eq)]
 pub struct StartedWork<T> {
-    /// The server it is bound to.
+    /// The index of the server that it is bound to.
     pub server: usize,
-    /// What was submitted with it.
+    /// The tag that was submitted with it.
     pub tag: T,
 }
 
@@ -64,11 +64,11 @@
     tag: T,
 }
 
-/// The queue, the servers behind it and the budgets for extra attempts.
+/// The queue of one upstream, its servers, and the budgets for hedges and retries.
 pub struct UpstreamQueue<T> {
     rules: Arc<dyn AttemptRules>,
     servers: Vec<ServerState>,
-    /// The earliest deadline first.
+    /// Ordered by deadline, the earliest first.
     waiting: WaitQueue<Moment, QueuedWork<T>>,
     track: LatencyTrack,
     hedging: Box<dyn HedgeRule>,
@@ -77,7 +77,7 @@
 }
 
 impl<T> UpstreamQueue<T> {
-    /// An empty queue before these servers.
+    /// Creates an empty queue for these servers.
     pub fn new(rules: Arc<dyn AttemptRules>, servers: Vec<ServerState>) -> Self {
         let hedging = rules.hedge_rule();
         let retries = RetryBudget::new(rules.retry_rates());
@@ -92,52 +92,55 @@
         }
     }
 
-    /// The servers, for status and tests.
+    /// The state of each server, for status reports and tests.
     pub fn servers(&self) -> &[ServerState] {
         &self.servers
     }
 
-    /// A server, to note what it told of itself.
+    /// Mutable state of a server, to apply what it reports about itself.
     pub fn server_mut(&mut self, server: usize) -> &mut ServerState {
         &mut self.servers[server]
     }
 
-    /// Pieces of work waiting.
+    /// The number of queued pieces of work.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// The versions that any server that is not leaving is believed to hold.
+    /// The range of versions that servers which are not leaving are believed to hold.
     pub fn versions(&self, index: &IndexName) -> Option<HeldVersions> {
         let servers = self.servers.iter().filter(|server| !server.is_leaving());
         let held = servers.filter_map(|server| server.versions(index));
         held.reduce(|a, b| HeldVersions { oldest: a.oldest.min(b.oldest), newest: a.newest.max(b.newest) })
     }
 
+    /// Picks a server that can take a call, preferably one that is neither avoided nor behind the required version. Any
+    /// server that has not dropped the version will do where none is preferred, or where the work avoids a server
+    /// and the preferred ones take no call now. Otherwise the work waits for a preferred one.
     fn pick(&self, item: &WorkItem, now: Moment, dice: &mut dyn RngCore) -> Option<usize> {
-        let able = |server: &ServerState| {
-            let dropped = item.version.is_some_and(|version| server.has_dropped(&item.index, version));
-            !server.is_leaving() && !dropped
+        let is_usable = |server: &ServerState| {
+            let is_dropped = item.version.is_some_and(|version| server.has_dropped(&item.index, version));
+            !server.is_leaving() && !is_dropped
         };
-        let ready = |server: &ServerState| {
-            able(server) && !item.version.is_some_and(|version| server.lags_behind(&item.index, version))
+        let is_ready = |server: &ServerState| {
+            is_usable(server) && !item.version.is_some_and(|version| server.lags_behind(&item.index, version))
         };
-        let fresh = |index: usize, server: &ServerState| Some(index) != item.avoid && ready(server);
+        let is_preferred = |index: usize, server: &ServerState| Some(index) != item.avoid && is_ready(server);
         let pick = |allowed: &dyn Fn(usize, &ServerState) -> bool, dice: &mut dyn RngCore| {
             self.rules.pick(&self.servers, allowed, now, dice)
         };
-        if let Some(server) = pick(&fresh, dice) {
+        if let Some(server) = pick(&is_preferred, dice) {
             return Some(server);
         }
-        let nobody_fresh = !self.servers.iter().enumerate().any(|(index, server)| fresh(index, server));
-        let avoided_resting = item.avoid.is_some() && self.servers.len() > 1;
-        if nobody_fresh || avoided_resting {
-            return pick(&|_, server| able(server), dice);
+        let has_no_preferred = !self.servers.iter().enumerate().any(|(index, server)| is_preferred(index, server));
+        let may_use_avoided = item.avoid.is_some() && self.servers.len() > 1;
+        if has_no_preferred || may_use_avoided {
+            return pick(&|_, server| is_usable(server), dice);
         }
         None
     }
 
-    /// Starts a piece of work or lets it wait. `is_retry` work does not earn budget.
+    /// Starts a piece of work or queues it. Work with `is_retry` earns no tokens for hedges and retries.
     pub fn submit(
         &mut self,
         now: Moment,
@@ -149,10 +152,10 @@
         if self.servers.iter().all(ServerState::is_leaving) {
             return QueueSubmission::Leaving(tag);
         }
-        let gone = |server: &ServerState| {
+        let is_gone = |server: &ServerState| {
             server.is_leaving() || item.version.is_some_and(|version| server.has_dropped(&item.index, version))
         };
-        if self.servers.iter().all(gone) {
+        if self.servers.iter().all(is_gone) {
             return QueueSubmission::VersionGone(tag);
         }
         if !is_retry {
@@ -167,20 +170,20 @@
         QueueSubmission::Waiting(self.waiting.push(deadline, deadline, QueuedWork { item, tag }))
     }
 
-    /// Starts a second attempt on another server than `first`, if the budget and a free
-    /// slot allow it. A hedge never waits, and never goes ahead of waiting work.
+    /// Starts a hedge (a second attempt) if the hedge budget and a free slot on a server other than `first` allow it,
+    /// and returns its server. A hedge is never queued and never starts ahead of queued work.
     pub fn hedge(&mut self, now: Moment, item: &WorkItem, first: usize, dice: &mut dyn RngCore) -> Option<usize> {
         if !self.waiting.is_empty() {
             return None;
         }
         let allowed = |index: usize, server: &ServerState| {
-            let missing = item.version.is_some_and(|version| {
+            let lacks_version = item.version.is_some_and(|version| {
                 server.has_dropped(&item.index, version) || server.lags_behind(&item.index, version)
             });
-            index != first && !server.is_leaving() && !server.is_resting(now) && !missing
+            index != first && !server.is_leaving() && !server.is_resting(now) && !lacks_version
         };
         let other = self.rules.pick(&self.servers, &allowed, now, dice)?;
-        let server = self.better_hedge(now, first, other);
+        let server = self.choose_hedge_server(now, first, other);
         if !self.hedges.spend() {
             return None;
         }
@@ -188,14 +191,15 @@
         Some(server)
     }
 
-    /// Another server, unless that one is far slower and the first one is known to answer:
-    /// then what straggles is the attempt, not the server, and a second one there is sooner.
-    fn better_hedge(&self, now: Moment, first: usize, other: usize) -> usize {
-        let (own, far) = (&self.servers[first], &self.servers[other]);
-        let is_alive = own.answered_within(now, ALIVE_SPAN) && own.has_slot();
-        if is_alive && far.is_far_slower_than(own, now) { first } else { other }
+    /// Chooses the server of a hedge: `other`, unless it is far slower than `first` and `first` is known to answer and
+    /// has a free slot. In that case the attempt straggles and not the server, so a second attempt there ends sooner.
+    fn choose_hedge_server(&self, now: Moment, first: usize, other: usize) -> usize {
+        let (first_state, other_state) = (&self.servers[first], &self.servers[other]);
+        let is_alive = first_state.answered_within(now, ALIVE_WINDOW) && first_state.has_slot();
+        if is_alive && other_state.is_far_slower_than(first_state, now) { first } else { other }
     }
 
+    /// Adds the tokens that one first attempt earns to the hedge and retry budgets.
     fn earn(&mut self) {
         let load = self.load();
         let share = self.hedging.plan(load).map_or(0.0, |plan| plan.share);
@@ -203,28 +207,28 @@
         self.retries.earn();
     }
 
-    /// The share of call slots in use, waiting work included.
+    /// The load as a share of the call slots, queued work included; above 1 when work waits.
     pub fn load(&self) -> f64 {
         let slots: u32 = self.servers.iter().filter(|server| !server.is_leaving()).map(ServerState::limit).sum();
         let running: u32 = self.servers.iter().map(ServerState::inflight).sum();
         (f64::from(running) + self.waiting.len() as f64) / f64::from(slots.max(1))
     }
 
-    /// When to hedge a call that starts now; `None` for never.
+    /// How long after its start a call is hedged; `None` if it is not hedged.
     pub fn hedge_delay(&mut self) -> Option<Duration> {
-        if self.track.samples() < HEDGE_SAMPLES || self.servers.len() < 2 {
+        if self.track.samples() < MIN_HEDGE_SAMPLES || self.servers.len() < 2 {
             return None;
         }
         let plan = self.hedging.plan(self.load())?;
         self.track.quantile(plan.quantile)
     }
 
-    /// Whether a failed piece of work may be tried again; spends from the budget.
+    /// Whether a failed piece of work may be retried; spends a token of the retry budget if so.
     pub fn may_retry(&mut self, outcome: AttemptOutcome, left: Duration, tries: u32) -> bool {
         self.retries.may_retry(outcome, &self.track, left, tries)
     }
 
-    /// Notes how a call ended and starts waiting work that now fits.
+    /// Records how a call ended and starts the queued work that now fits.
     pub fn finish(
         &mut self,
         now: Moment,
@@ -239,13 +243,13 @@
         self.start_waiting(now, dice)
     }
 
-    /// Binds waiting work to free slots; drops what has expired.
+    /// Binds queued work to free slots in deadline order and drops expired work.
     pub fn start_waiting(&mut self, now: Moment, dice: &mut dyn RngCore) -> Vec<StartedWork<T>> {
         let mut started = Vec::new();
-        let mut passed = Vec::new();
+        let mut skipped = Vec::new();
         while let Some(work) = self.waiting.pop(now) {
             let Some(server) = self.pick(&work.item.item, now, dice) else {
-                passed.push(work);
+                skipped.push(work);
                 if !self.servers.iter().any(ServerState::has_slot) {
                     break;
                 }
@@ -254,12 +258,12 @@
             self.servers[server].start();
             started.push(StartedWork { server, tag: work.item.tag });
         }
-        passed.into_iter().for_each(|work| self.waiting.requeue(work));
+        skipped.into_iter().for_each(|work| self.waiting.requeue(work));
         started
     }
 
-    /// Takes waiting work out again; false if it already started or expired.
-    pub fn cancel(&mut self, place: WaitId) -> bool {
-        self.waiting.remove(place).is_some()
+    /// Removes queued work; false if it already started or expired.
+    pub fn cancel(&mut self, id: WaitId) -> bool {
+        self.waiting.remove(id).is_some()
     }
 }
