--- a/crates/policy/src/call_order.rs
+++ b/crates/policy/src/call_order.rs
@@ -1,7 +1,7 @@
-//! In which order calls that wait for a server are made.
+//! The order in which queued calls are sent to servers: a priority queue with fair queueing between teams.
 //!
-//! The load pattern: calls for a shard whose servers are all at work, of routes and teams that differ in priority,
-//! rate and target latency.
+//! The load pattern: calls for a shard whose servers are all busy, from routes and teams that differ in priority, rate
+//! and target latency.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,68 +11,69 @@
 use crate::moment::Moment;
 use crate::team_scheduler::{TeamScheduler, TeamShare};
 
-/// The kept share, as a part of the share that a priority would get if calls were made first come, first served: a
-/// little over a half, of which calls that leave the line take some.
-const KEPT_SHARE: f64 = 0.55;
-/// Less than this is left of a priority whose calls came many half-lives ago: routes of it may be gone.
-const FORGOTTEN: f64 = 1e-3;
-/// How many calls of each priority joined and were made counts half after this time.
+/// The minimum share of a priority, as a part of the share that it would get if calls were sent in order of arrival. A
+/// little over a half, since calls that leave the queue without being sent use up some of it.
+const MIN_SHARE_RATIO: f64 = 0.55;
+/// A priority whose decayed count of calls is below this is dropped: its calls came many half-lives ago, and the routes
+/// that use it may no longer exist.
+const MIN_COUNT: f64 = 1e-3;
+/// Half-life of the counts of queued and sent calls of each priority.
 const SHARE_HALF_LIFE: Duration = Duration::from_secs(5);
 
-/// A call that waits for a server.
+/// A queued call that waits for a server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WaitingCall {
-    /// The rank of its request.
+    /// The priority of its request.
     pub priority: Priority,
-    /// The team of its request, where callers have keys.
+    /// The team of its request, if callers identify themselves by keys.
     pub team: Option<TeamShare>,
-    /// When it began to wait.
+    /// When it joined the queue.
     pub joined: Moment,
-    /// The latest start that still makes its target latency.
+    /// The latest start with which it still meets its target latency.
     pub latest_start: Moment,
-    /// When it is worth nothing any more.
+    /// When its result no longer has any value.
     pub expires: Moment,
 }
 
-/// By what calls take their turns whose callers have no team.
-const NAMELESS: TeamShare = TeamShare { team: None, rate: None };
+/// The share of calls whose callers have no team.
+const NO_TEAM: TeamShare = TeamShare { team: None, rate: None };
 
 impl WaitingCall {
-    /// By what it takes its turn.
+    /// The team and rate by which it is scheduled.
     fn share(&self) -> &TeamShare {
-        self.team.as_ref().unwrap_or(&NAMELESS)
+        self.team.as_ref().unwrap_or(&NO_TEAM)
     }
 }
 
-/// The place of a waiting call: the least goes first. The fields count in their order.
+/// The sort key of a queued call; the least is sent first. Fields are compared in their order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallRank {
-    /// Whether its priority has had its kept share; calls of one that has not go before all others.
-    pub is_kept: bool,
+    /// Whether its priority has received its minimum share. Calls of a priority that has not go before all others.
+    pub has_min_share: bool,
     /// Its priority.
     pub priority: Priority,
-    /// The turn of its team.
-    pub turn: u64,
-    /// Whether it misses its target latency whenever it starts: what can still make it goes first, or under
-    /// overload all would be made late.
+    /// The start tag of its team's next call.
+    pub start_tag: u64,
+    /// Whether it misses its target latency even if it starts now. Calls that can still meet theirs go first; otherwise
+    /// all calls would be late under overload.
     pub is_late: bool,
-    /// The latest start that still makes its target latency.
+    /// The latest start with which it still meets its target latency.
     pub latest_start: Moment,
 }
 
-/// Gives waiting calls their places.
+/// A scheduling policy for queued calls.
 pub trait CallOrder: Send {
-    /// Notes that a call begins to wait.
+    /// Records that a call joined the queue.
     fn note_joined(&mut self, now: Moment, call: &WaitingCall);
 
-    /// The place of a call that waits.
+    /// The sort key of a queued call.
     fn rank(&self, now: Moment, call: &WaitingCall) -> CallRank;
 
-    /// Notes that a call was made, so that its team's next one has a later turn.
+    /// Records that a call was sent, so that its team's next call gets a later start tag.
     fn note_sent(&mut self, now: Moment, call: &WaitingCall);
 }
 
-/// First come, first served: what the others are measured against.
+/// Order of arrival (FIFO): the baseline that other policies are compared with.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ArrivalOrder;
 
@@ -80,60 +81,61 @@
     fn note_joined(&mut self, _now: Moment, _call: &WaitingCall) {}
 
     fn rank(&self, _now: Moment, call: &WaitingCall) -> CallRank {
-        CallRank { is_kept: true, priority: Priority(0), turn: 0, is_late: false, latest_start: call.joined }
+        CallRank { has_min_share: true, priority: Priority(0), start_tag: 0, is_late: false, latest_start: call.joined }
     }
 
     fn note_sent(&mut self, _now: Moment, _call: &WaitingCall) {}
 }
 
-/// Calls of one priority, or of all; they fade.
+/// Counts of queued and sent calls of one priority, or of all, that decay exponentially.
 #[derive(Debug, Clone, Copy, Default)]
-struct FadingCount {
+struct DecayingCount {
     joined: f64,
-    made: f64,
+    sent: f64,
 }
 
-impl FadingCount {
-    fn fade(&mut self, factor: f64) {
+impl DecayingCount {
+    fn decay(&mut self, factor: f64) {
         self.joined *= factor;
-        self.made *= factor;
+        self.sent *= factor;
     }
 }
 
-/// By priority, and then by the latest start, or before that by the turn of the team. A priority that got less than it
-/// keeps goes first until it has that much, so that the least urgent do not starve.
+/// Order by priority, then by the team's start tag if fair queueing is enabled, then by the latest start. A priority
+/// below its minimum share goes first until it has received it, so that the least urgent calls do not starve.
 #[derive(Debug, Default)]
 pub struct PriorityOrder {
-    by_priority: BTreeMap<Priority, FadingCount>,
-    all: FadingCount,
-    faded: Moment,
-    turns: Option<TeamScheduler>,
+    by_priority: BTreeMap<Priority, DecayingCount>,
+    all: DecayingCount,
+    last_decay: Moment,
+    scheduler: Option<TeamScheduler>,
 }
 
 impl PriorityOrder {
-    /// With turns of teams.
+    /// Enables fair queueing between teams.
     #[must_use]
     pub fn with_fair_queueing(self) -> Self {
-        Self { turns: Some(TeamScheduler::default()), ..self }
+        Self { scheduler: Some(TeamScheduler::default()), ..self }
     }
 
-    fn count(&mut self, now: Moment, priority: Priority, add: impl Fn(&mut FadingCount)) {
-        let age = now.since(self.faded).as_secs_f64() / SHARE_HALF_LIFE.as_secs_f64();
-        self.faded = now;
+    /// Decays all counts to `now` and applies `add` to those of a priority and of all.
+    fn count(&mut self, now: Moment, priority: Priority, add: impl Fn(&mut DecayingCount)) {
+        let age = now.since(self.last_decay).as_secs_f64() / SHARE_HALF_LIFE.as_secs_f64();
+        self.last_decay = now;
         let factor = 0.5f64.powf(age);
-        self.by_priority.values_mut().for_each(|count| count.fade(factor));
-        self.by_priority.retain(|_, count| count.joined > FORGOTTEN);
-        self.all.fade(factor);
+        self.by_priority.values_mut().for_each(|count| count.decay(factor));
+        self.by_priority.retain(|_, count| count.joined > MIN_COUNT);
+        self.all.decay(factor);
         add(self.by_priority.entry(priority).or_default());
         add(&mut self.all);
     }
 
-    /// Whether as many calls of a priority were made as its kept share, to within one call.
-    fn is_kept(&self, priority: Priority) -> bool {
+    /// Whether a priority has received its minimum share of the sent calls, to within one call.
+    fn has_min_share(&self, priority: Priority) -> bool {
         let Some(count) = self.by_priority.get(&priority) else { return true };
         let share = count.joined / self.all.joined.max(f64::MIN_POSITIVE);
-        // A whole call behind, or the first one of a priority would go before all others.
-        count.made + 1.0 > KEPT_SHARE * share * self.all.made
+        // Tolerates a deficit of one call; without it the first call of a priority would go before all others.
+        count.sent + 1.0 > MIN_SHARE_RATIO * share * self.all.sent
     }
 }
 
@@ -143,20 +145,20 @@
     }
 
     fn rank(&self, now: Moment, call: &WaitingCall) -> CallRank {
-        let turn = self.turns.as_ref().map_or(0, |turns| turns.turn(call.share()));
+        let start_tag = self.scheduler.as_ref().map_or(0, |scheduler| scheduler.start_tag(call.share()));
         CallRank {
-            is_kept: self.is_kept(call.priority),
+            has_min_share: self.has_min_share(call.priority),
             priority: call.priority,
-            turn,
+            start_tag,
             is_late: call.latest_start < now,
             latest_start: call.latest_start,
         }
     }
 
     fn note_sent(&mut self, now: Moment, call: &WaitingCall) {
-        self.count(now, call.priority, |count| count.made += 1.0);
-        if let Some(turns) = &mut self.turns {
-            turns.note_sent(call.share());
+        self.count(now, call.priority, |count| count.sent += 1.0);
+        if let Some(scheduler) = &mut self.scheduler {
+            scheduler.note_sent(call.share());
         }
     }
 }
--- a/crates/policy/src/wait_queue.rs
+++ b/crates/policy/src/wait_queue.rs
@@ -1,89 +1,89 @@
-//! A line of work that waits: each piece has a key that orders it and a moment from which it is worth nothing.
+//! A priority queue of work: each piece has a sort key and an expiry time.
 //!
-//! The load pattern: more work than servers can take, whose order is decided anew each time one is free, and whose
-//! submitters may leave meanwhile.
+//! The load pattern: more work than servers can take, reordered each time a server is free, and whose submitters may
+//! cancel it while it waits.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::moment::Moment;
 
-/// A place in a line, never given twice.
+/// The id of a piece of work in one queue; it is never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WaitId(u64);
 
-/// Work that waits, or has just been taken out of the line.
+/// Queued work, or work that has just been removed from the queue.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WaitingWork<K, T> {
-    /// Its place, which it gets back by [`WaitQueue::requeue`].
+    /// Its id, which it keeps when it is put back by [`WaitQueue::requeue`].
     pub id: WaitId,
-    /// What orders it.
+    /// Its sort key; the least goes first.
     pub key: K,
-    /// When it is worth nothing any more.
+    /// When its result no longer has any value.
     pub expires: Moment,
-    /// The work.
+    /// The work itself.
     pub item: T,
 }
 
-/// Waiting work in order of its keys; among equal ones who came first goes first.
+/// A queue of work ordered by key; work with equal keys is in order of arrival.
 #[derive(Debug, Clone)]
 pub struct WaitQueue<K, T> {
-    works: BTreeMap<(K, WaitId), WaitingWork<K, T>>,
+    entries: BTreeMap<(K, WaitId), WaitingWork<K, T>>,
     keys: HashMap<WaitId, K>,
-    joined: u64,
+    next_id: u64,
 }
 
 impl<K: Copy + Ord, T> Default for WaitQueue<K, T> {
     fn default() -> Self {
-        Self { works: BTreeMap::new(), keys: HashMap::new(), joined: 0 }
+        Self { entries: BTreeMap::new(), keys: HashMap::new(), next_id: 0 }
     }
 }
 
 impl<K: Copy + Ord, T> WaitQueue<K, T> {
-    /// Pieces of work that wait.
+    /// The number of queued pieces of work.
     pub fn len(&self) -> usize {
-        self.works.len()
+        self.entries.len()
     }
 
-    /// Whether none waits.
+    /// Whether no work is queued.
     pub fn is_empty(&self) -> bool {
-        self.works.is_empty()
+        self.entries.is_empty()
     }
 
-    /// The waiting work in its order.
+    /// The queued work in its order.
     pub fn iter(&self) -> impl Iterator<Item = &WaitingWork<K, T>> {
-        self.works.values()
+        self.entries.values()
     }
 
-    /// Puts work into the line.
+    /// Adds work to the queue.
     pub fn push(&mut self, key: K, expires: Moment, item: T) -> WaitId {
-        let id = WaitId(self.joined);
-        self.joined += 1;
+        let id = WaitId(self.next_id);
+        self.next_id += 1;
         self.requeue(WaitingWork { id, key, expires, item });
         id
     }
 
-    /// Puts work back that was taken out and could not start: it has its old place.
+    /// Puts back work that was removed and could not start; it keeps its position.
     pub fn requeue(&mut self, work: WaitingWork<K, T>) {
         self.keys.insert(work.id, work.key);
-        self.works.insert((work.key, work.id), work);
+        self.entries.insert((work.key, work.id), work);
     }
 
-    /// Waiting work by its place.
-    pub fn get_mut(&mut self, place: WaitId) -> Option<&mut T> {
-        let key = self.keys.get(&place)?;
-        self.works.get_mut(&(*key, place)).map(|work| &mut work.item)
+    /// Queued work by its id.
+    pub fn get_mut(&mut self, id: WaitId) -> Option<&mut T> {
+        let key = self.keys.get(&id)?;
+        self.entries.get_mut(&(*key, id)).map(|work| &mut work.item)
     }
 
-    /// Takes work out by its place, if it is still there.
-    pub fn remove(&mut self, place: WaitId) -> Option<WaitingWork<K, T>> {
-        let key = self.keys.remove(&place)?;
-        self.works.remove(&(key, place))
+    /// Removes work by its id; `None` if it is no longer queued.
+    pub fn remove(&mut self, id: WaitId) -> Option<WaitingWork<K, T>> {
+        let key = self.keys.remove(&id)?;
+        self.entries.remove(&(key, id))
     }
 
-    /// Takes out the first piece of work; those before it that have expired are dropped.
+    /// Removes the first piece of work that has not expired; expired work before it is dropped.
     pub fn pop(&mut self, now: Moment) -> Option<WaitingWork<K, T>> {
         loop {
-            let (_, work) = self.works.pop_first()?;
+            let (_, work) = self.entries.pop_first()?;
             self.keys.remove(&work.id);
             if now < work.expires {
                 return Some(work);
@@ -91,9 +91,10 @@
         }
     }
 
-    /// Takes out all that has expired.
+    /// Removes and returns all expired work.
     pub fn remove_expired(&mut self, now: Moment) -> Vec<WaitingWork<K, T>> {
-        let expired: Vec<WaitId> = self.works.values().filter(|work| work.expires <= now).map(|work| work.id).collect();
-        expired.into_iter().filter_map(|place| self.remove(place)).collect()
+        let expired: Vec<WaitId> =
+            self.entries.values().filter(|work| work.expires <= now).map(|work| work.id).collect();
+        expired.into_iter().filter_map(|id| self.remove(id)).collect()
     }
 }
