--- a/crates/policy/src/wait_tracker.rs
+++ b/crates/policy/src/wait_tracker.rs
@@ -1,8 +1,8 @@
-//! How long calls of each priority wait for servers, as nodes tell it.
+//! How long calls of each priority wait for servers across the fleet, from the reports of nodes.
 //!
-//! The load pattern: a burst, or servers that became slow, makes calls wait in many failure domains at once, and
-//! every node sees only its own lines. Nodes die, are cut off and lag, so what one of them tells must never turn
-//! away what all others would serve, and must not outlive it.
+//! The load pattern: a burst or a slowdown of servers makes calls wait in many failure domains at once, while every
+//! node sees only its own queues. Nodes die, get partitioned and lag, so the report of a single node must never cause
+//! the refusal of requests that all others would serve, and must not outlive the node for long.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,50 +11,50 @@
 
 use crate::moment::Moment;
 
-/// What a node told counts for so long, less and less: nodes that live tell anew many times a second, and callers
-/// of the quickest lookups should not be turned away for longer by one that died.
+/// Time over which the reported waits of a node decay to zero. Live nodes report many times per second, and a report
+/// from a dead node must not refuse callers of the fastest lookups for longer.
 const REPORT_LIFE: Duration = Duration::from_secs(1);
 
-/// What one node told last.
+/// The last report of one node.
 #[derive(Debug, Clone)]
 struct WaitReport {
-    told: Moment,
+    reported_at: Moment,
     waits: BTreeMap<Priority, Duration>,
 }
 
 impl WaitReport {
     fn age(&self, now: Moment) -> Duration {
-        now.since(self.told)
+        now.since(self.reported_at)
     }
 
     fn is_alive(&self, now: Moment) -> bool {
         self.age(now) < REPORT_LIFE
     }
 
-    /// What it tells of a priority, less what its age has taken; nothing if none of its calls waited.
+    /// The reported wait of a priority, decayed linearly by the report's age; zero if none of its calls waited.
     fn wait(&self, now: Moment, priority: Priority) -> Duration {
-        let kept = 1.0 - self.age(now).as_secs_f64() / REPORT_LIFE.as_secs_f64();
-        self.waits.get(&priority).copied().unwrap_or_default().mul_f64(kept.clamp(0.0, 1.0))
+        let remaining = 1.0 - self.age(now).as_secs_f64() / REPORT_LIFE.as_secs_f64();
+        self.waits.get(&priority).copied().unwrap_or_default().mul_f64(remaining.clamp(0.0, 1.0))
     }
 }
 
-/// How long calls of a priority wait.
+/// The wait of calls of a priority on which half of the failure domains agree.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MedianWait {
-    /// The least wait that at least half of the failure domains do not exceed.
+    /// The lower median over failure domains: the least wait that at least half of them do not exceed.
     pub wait: Duration,
-    /// The age of the oldest report that it rests on.
+    /// The age of the oldest report behind it.
     pub age: Duration,
 }
 
-/// What nodes tell of waiting calls, this one among them.
+/// The reports of all nodes, this one included, on how long calls wait.
 #[derive(Debug, Clone, Default)]
 pub struct WaitTracker {
     domains: BTreeMap<FailureDomain, BTreeMap<NodeId, WaitReport>>,
 }
 
 impl WaitTracker {
-    /// Notes what a node tells now: the waits of those priorities of which any call waited lately.
+    /// Records a node's report: the waits of the priorities that had waiting calls recently.
     pub fn note(
         &mut self,
         now: Moment,
@@ -62,36 +62,35 @@
         node: &NodeId,
         waits: impl IntoIterator<Item = (Priority, Duration)>,
     ) {
-        self.forget(now);
-        let report = WaitReport { told: now, waits: waits.into_iter().collect() };
+        self.drop_expired(now);
+        let report = WaitReport { reported_at: now, waits: waits.into_iter().collect() };
         self.domains.entry(domain.clone()).or_default().insert(node.clone(), report);
     }
 
-    /// Drops reports that no longer count.
-    fn forget(&mut self, now: Moment) {
+    /// Drops expired reports.
+    fn drop_expired(&mut self, now: Moment) {
         for reports in self.domains.values_mut() {
             reports.retain(|_, report| report.is_alive(now));
         }
         self.domains.retain(|_, reports| !reports.is_empty());
     }
 
-    /// How long calls of a priority wait, as most of those agree on that were heard lately: nodes within their
-    /// failure domain, and failure domains with each other. Nothing heard is no wait.
+    /// How long calls of a priority wait: the lower median over failure domains of the lower median over the nodes of
+    /// each, from reports that have not expired. Without any report the wait is zero.
     pub fn wait(&self, now: Moment, priority: Priority) -> MedianWait {
         let alive = |reports: &BTreeMap<NodeId, WaitReport>| -> Vec<MedianWait> {
             let alive = reports.values().filter(|report| report.is_alive(now));
             alive.map(|report| MedianWait { wait: report.wait(now, priority), age: report.age(now) }).collect()
         };
-        let domains = self.domains.values().filter_map(|reports| agree(alive(reports)));
-        agree(domains.collect()).unwrap_or_default()
+        let domains = self.domains.values().filter_map(|reports| lower_median(alive(reports)));
+        lower_median(domains.collect()).unwrap_or_default()
     }
 }
 
-/// The least wait that at least half of some views do not exceed (the lower median), so that of several views the
-/// longest alone never counts; none without a view.
-fn agree(mut views: Vec<MedianWait>) -> Option<MedianWait> {
-    views.sort_unstable_by_key(|view| view.wait);
-    let age = views.iter().map(|view| view.age).max()?;
-    let middle = (views.len() - 1) / 2;
-    Some(MedianWait { wait: views[middle].wait, age })
+/// The lower median of the waits, so that the longest of several waits never counts alone; `None` if there is none.
+fn lower_median(mut waits: Vec<MedianWait>) -> Option<MedianWait> {
+    waits.sort_unstable_by_key(|wait| wait.wait);
+    let age = waits.iter().map(|wait| wait.age).max()?;
+    let middle = (waits.len() - 1) / 2;
+    Some(MedianWait { wait: waits[middle].wait, age })
 }
