--- a/crates/policy/src/reservation_table.rs
+++ b/crates/policy/src/reservation_table.rs
@@ -1,11 +1,11 @@
-//! Who of a team's refused callers returns when.
+//! Reservations of credit for a team's refused callers, so that they retry at different times.
 //!
-//! The load pattern: a team sends many times its rate, so that dozens of its callers are refused within one moment.
-//! Told the same time, at which there is credit for one of them, all others come back for nothing.
+//! The load pattern: a team sends many times its rate, so that dozens of its callers are refused at once. If all were
+//! told the same retry time, at which there is credit for one of them, all others would be refused again.
 //!
-//! Each refusal takes the next place, a time at which one request more has credit. A caller's next try has another id,
-//! but asks for the same: by that it is known, so newcomers leave its credit to it though it comes late. Callers that
-//! ask for the same take each other's places. A caller that cannot wait so long takes none.
+//! Each refusal gets the next reservation: a time at which there is credit for one more request. A retry has another
+//! request id but the same content, by which it is recognized, so newcomers do not take its credit even if it comes
+//! late. Callers with the same content use each other's reservations. A caller that cannot wait that long gets none.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,107 +14,108 @@
 
 use crate::moment::Moment;
 
-/// How long a place is kept beyond its time: callers have pauses of their own of some tenths of a second, and come no
-/// sooner than those end.
-const KEPT_FOR: Duration = Duration::from_millis(400);
-/// Places of one team that are kept; callers' waits end far before so many are reached.
-const MAX_PLACES: usize = 512;
-/// The longest wait that is told.
-const LONGEST: Duration = Duration::from_secs(60);
+/// How long a reservation is held beyond its time: clients have their own retry backoff of some tenths of a second and
+/// do not return before it ends.
+const HELD_FOR: Duration = Duration::from_millis(400);
+/// Maximum number of reservations of one team; callers cannot wait long enough for so many to be reached.
+const MAX_RESERVATIONS: usize = 512;
+/// The longest wait that a caller is told.
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// How credit is asked for by a caller that returns at its place.
+/// A request for credit by a caller that can use a reservation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReservationRequest {
-    /// What it asks for.
+    /// The content of the caller's request, by which its retry is recognized.
     pub content: ContentId,
-    /// How long it can wait to return.
+    /// The longest time after which the caller can still retry.
     pub max_wait: Duration,
-    /// Whether the pool was asked already.
+    /// Whether the pool was already asked for credit for this request.
     pub is_pool_asked: bool,
 }
 
-/// What a refused caller is told.
+/// The retry time that a refused caller is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReservationOffer {
-    /// Until one request more has credit.
+    /// Time until there is credit for one more request.
     pub wait: Duration,
-    /// Whether that credit is kept for a caller that comes then.
+    /// Whether that credit is reserved for the caller.
     pub is_reserved: bool,
 }
 
-/// What became of places since it was last asked.
+/// Counts of reservation outcomes since they were last taken.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReservationCounts {
-    /// Handed out.
+    /// Reservations that were granted.
     pub given: u32,
-    /// Taken by who came at the time.
+    /// Reservations that a caller used after their time.
     pub taken: u32,
-    /// Over, without anybody coming.
+    /// Reservations that expired unused.
     pub released: u32,
-    /// Met by somebody when there was no credit, since less came in than was expected.
+    /// Reservations whose caller returned when there was no credit, since less was earned than expected.
     pub missed: u32,
-    /// Not handed out, since the caller cannot wait so long, or too many places are kept already.
+    /// Refusals without a reservation, since the caller cannot wait that long or there are too many reservations.
     pub too_far: u32,
 }
 
-/// A time at which one request more has credit.
+/// A time at which there is credit for one more request.
 #[derive(Debug, Clone, Copy)]
-struct TurnPlace {
+struct CreditReservation {
     at: Moment,
-    /// What its caller asks for.
+    /// The content of its caller's request.
     content: ContentId,
 }
 
-/// The places of one team at one giver of credit, in the order of their times.
+/// The reservations of one team at one node that grants credit, in order of time.
 #[derive(Debug, Clone, Default)]
 pub struct ReservationTable {
-    places: VecDeque<TurnPlace>,
+    reservations: VecDeque<CreditReservation>,
     counts: ReservationCounts,
 }
 
 impl ReservationTable {
-    /// Gives up the places that nobody came for.
-    pub fn release(&mut self, now: Moment) {
-        while self.places.front().is_some_and(|place| place.at.plus(KEPT_FOR) < now) {
-            self.places.pop_front();
+    /// Drops the reservations that expired unused.
+    pub fn release_expired(&mut self, now: Moment) {
+        while self.reservations.front().is_some_and(|reservation| reservation.at.plus(HELD_FOR) < now) {
+            self.reservations.pop_front();
             self.counts.released += 1;
         }
     }
 
-    /// How many places fall due within a span; those that are due now are among them.
+    /// The number of reservations that fall due within a time, those that are due already included.
     pub fn count_due(&self, now: Moment, within: Duration) -> usize {
         let until = now.plus(within);
-        self.places.partition_point(|place| place.at <= until)
+        self.reservations.partition_point(|reservation| reservation.at <= until)
     }
 
-    /// Takes the first place that is due for a caller that asks for this, if there is one.
+    /// Uses the first due reservation for this content; false if there is none.
     pub fn take_due(&mut self, now: Moment, content: ContentId) -> bool {
-        let is_due = self.drop_due(now, content);
+        let is_due = self.remove_due(now, content);
         self.counts.taken += u32::from(is_due);
         is_due
     }
 
-    /// Takes it though there is no credit: its caller gets another one.
+    /// Removes the first due reservation for this content because there is no credit; its caller gets another one.
     pub fn miss_due(&mut self, now: Moment, content: ContentId) {
-        let is_due = self.drop_due(now, content);
+        let is_due = self.remove_due(now, content);
         self.counts.missed += u32::from(is_due);
     }
 
-    fn drop_due(&mut self, now: Moment, content: ContentId) -> bool {
-        let due = self.places.iter().take_while(|place| place.at <= now);
-        let found = due.enumerate().find(|(_, place)| place.content == content);
-        found.map(|(index, _)| index).and_then(|index| self.places.remove(index)).is_some()
+    /// Removes the first due reservation for this content; false if there is none.
+    fn remove_due(&mut self, now: Moment, content: ContentId) -> bool {
+        let due = self.reservations.iter().take_while(|reservation| reservation.at <= now);
+        let found = due.enumerate().find(|(_, reservation)| reservation.content == content);
+        found.map(|(index, _)| index).and_then(|index| self.reservations.remove(index)).is_some()
     }
 
-    /// The next place for a caller that can wait so long. `first` is when there is credit if nobody waits for it,
-    /// `rate` how much comes in a second.
-    pub fn offer(&mut self, now: Moment, first: Duration, rate: f64, ask: &ReservationRequest) -> ReservationOffer {
-        let step = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(LONGEST).min(LONGEST);
-        let place = self.places.back().map_or(now.plus(first.min(LONGEST)), |last| now.max(last.at).plus(step));
-        let wait = place.since(now).min(LONGEST);
-        let is_reserved = wait <= ask.max_wait && self.places.len() < MAX_PLACES;
+    /// Makes the next reservation if the caller can wait that long. `first` is the time until there is credit if there
+    /// is no reservation yet, `rate` the credit earned per second.
+    pub fn offer(&mut self, now: Moment, first: Duration, rate: f64, request: &ReservationRequest) -> ReservationOffer {
+        let step = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(MAX_WAIT).min(MAX_WAIT);
+        let at = self.reservations.back().map_or(now.plus(first.min(MAX_WAIT)), |last| now.max(last.at).plus(step));
+        let wait = at.since(now).min(MAX_WAIT);
+        let is_reserved = wait <= request.max_wait && self.reservations.len() < MAX_RESERVATIONS;
         if is_reserved {
-            self.places.push_back(TurnPlace { at: place, content: ask.content });
+            self.reservations.push_back(CreditReservation { at, content: request.content });
             self.counts.given += 1;
         } else {
             self.counts.too_far += 1;
@@ -122,7 +123,7 @@
         ReservationOffer { wait, is_reserved }
     }
 
-    /// What became of places since this was last called.
+    /// The counts since the last call of this function.
     pub fn take_counts(&mut self) -> ReservationCounts {
         std::mem::take(&mut self.counts)
     }
