--- a/crates/policy/src/batch_gate.rs
+++ b/crates/policy/src/batch_gate.rs
@@ -1,8 +1,8 @@
-//! Whether a node takes shards that another node hands to it.
+//! Load shedding for batches: whether a node accepts shards that another node delegates to it.
 //!
-//! The load pattern: many weak nodes hand their shards to a few strong ones, whose processor is all
-//! that is scarce, in a burst or after others of them were lost. What waits behind other work for
-//! long comes too late, while the node that asked could have turned to another or begun itself.
+//! The load pattern: many weak nodes delegate their shards to a few strong ones, whose processor is the only scarce
+//! resource, in a burst or after some of the strong nodes were lost. A batch that waits long behind other work is
+//! answered too late, while the delegating node could have chosen another node or started the work itself.
 
 use std::time::Duration;
 
@@ -11,27 +11,27 @@
 use crate::moment::Moment;
 use crate::placement::batch_work;
 
-/// The part of the time until its reply is wanted that a batch may wait behind other work: its
-/// servers need most of the rest, and a node that is refused needs time to turn to another.
+/// Maximum wait of a batch behind other work, as a share of the time within which its reply is wanted. Its servers need
+/// most of the rest, and a node that is refused needs time to choose another one.
 const MAX_WAIT_SHARE: f64 = 0.2;
 
-/// The work that a node has taken, as the time at which its processor has done it.
+/// The accepted work of a node, as the time at which its processor will have finished it.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct BatchGate {
-    done_at: Moment,
+    busy_until: Moment,
 }
 
 impl BatchGate {
-    /// Takes a batch of so many shards whose reply is wanted within a time.
+    /// Accepts a batch of `shards` shards whose reply is wanted within a time, on a processor of this power.
     ///
     /// # Errors
-    /// How long it would wait, where that is too long: it is not taken.
+    /// The batch is not accepted because it would wait too long; the error is that wait.
     pub fn admit(&mut self, now: Moment, shards: usize, power: CoreShare, within: Duration) -> Result<(), Duration> {
-        let wait = self.done_at.since(now);
+        let wait = self.busy_until.since(now);
         if wait > within.mul_f64(MAX_WAIT_SHARE) {
             return Err(wait);
         }
-        self.done_at = now.plus(wait + power.stretch(batch_work(shards)));
+        self.busy_until = now.plus(wait + power.stretch(batch_work(shards)));
         Ok(())
     }
 }
--- a/crates/policy/src/entry_gate.rs
+++ b/crates/policy/src/entry_gate.rs
@@ -1,7 +1,7 @@
-//! Whether a request that arrives is begun.
+//! Load shedding on arrival: whether a request is admitted or refused before anything is sent.
 //!
-//! The load pattern: servers of many shards are slow or gone while callers keep coming, so that not all requests can
-//! be answered in time. What is begun in vain takes room from what could be served.
+//! The load pattern: servers of many shards are slow or gone while requests keep arriving, so that not all can be
+//! answered in time. Requests that cannot finish in time would take capacity from those that can.
 
 use std::time::Duration;
 
@@ -10,46 +10,46 @@
 use crate::moment::Moment;
 use crate::priority_level::PriorityLevel;
 
-/// What is known when a request arrives.
+/// What is known about a request on arrival.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EntryRequest {
-    /// Its rank.
+    /// Its priority.
     pub priority: Priority,
     /// Its target latency.
     pub target: Duration,
-    /// The time it has left.
+    /// The time left until its deadline.
     pub left: Duration,
-    /// How long until enough of its shards are expected to have answered; none where too few have a server that may be
-    /// asked. Such a request is not refused as hopeless.
+    /// Expected time until enough of its shards have answered; `None` if too few shards have a server that may be
+    /// called. Such a request is not refused as one that cannot finish in time.
     pub expected: Option<Duration>,
     /// How long calls of its priority wait for a server.
     pub waited: Duration,
 }
 
-/// What becomes of it.
+/// The decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryDecision {
-    /// It is begun.
+    /// The request is admitted.
     Admit,
-    /// It is refused, since it cannot be answered within the time it has left.
+    /// The request is refused because it cannot be answered before its deadline.
     CannotFinish {
-        /// Until it could be.
+        /// Time after which it could be answered within its target latency.
         wait: Duration,
     },
-    /// It is refused, since more urgent requests need the room.
+    /// The request is refused because more urgent requests need the capacity.
     Yield {
-        /// Until there may be room.
+        /// Time after which there may be capacity.
         wait: Duration,
     },
 }
 
-/// Lets requests in or turns them away.
+/// A rule that admits or refuses requests on arrival.
 pub trait EntryRule: Send {
-    /// What becomes of a request that arrives now.
-    fn decide(&mut self, now: Moment, ask: &EntryRequest) -> EntryDecision;
+    /// Decides on a request that arrives now.
+    fn decide(&mut self, now: Moment, request: &EntryRequest) -> EntryDecision;
 }
 
-/// Begins every request.
+/// Admits every request.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct AdmitAll;
 
@@ -59,28 +59,28 @@
     }
 }
 
-/// Turns away what cannot be answered in time, and what must give way to more urgent requests.
+/// Refuses requests that cannot be answered in time, and those that must yield to more urgent ones.
 #[derive(Debug, Clone, Default)]
 pub struct EntryGate {
     level: PriorityLevel,
 }
 
 impl EntryGate {
-    /// The priorities that are let in.
+    /// The admitted priorities.
     pub fn level(&self) -> &PriorityLevel {
         &self.level
     }
 }
 
 impl EntryRule for EntryGate {
-    fn decide(&mut self, now: Moment, ask: &EntryRequest) -> EntryDecision {
-        self.level.note(now, ask.priority, ask.target, ask.waited);
-        if let Some(expected) = ask.expected.filter(|expected| *expected > ask.left) {
-            // Then it would be answered within its target.
-            return EntryDecision::CannotFinish { wait: expected.saturating_sub(ask.target) };
+    fn decide(&mut self, now: Moment, request: &EntryRequest) -> EntryDecision {
+        self.level.note(now, request.priority, request.target, request.waited);
+        if let Some(expected) = request.expected.filter(|expected| *expected > request.left) {
+            // After this wait it would be answered within its target latency.
+            return EntryDecision::CannotFinish { wait: expected.saturating_sub(request.target) };
         }
-        if self.level.is_closed(ask.priority) {
-            return EntryDecision::Yield { wait: self.level.time_to_open(now, ask.priority) };
+        if self.level.is_closed(request.priority) {
+            return EntryDecision::Yield { wait: self.level.time_to_open(now, request.priority) };
         }
         EntryDecision::Admit
     }
