--- a/crates/policy/src/answer_margin.rs
+++ b/crates/policy/src/answer_margin.rs
@@ -1,24 +1,24 @@
-//! How long before its target an answer over shards is decided, so that it arrives in time.
+//! The margin before its target latency at which an answer over shards is completed, so that it arrives in time.
 //!
-//! The load pattern: answers of hundreds of shards at nodes of an eighth of a core. What is fixed is
-//! the caller's way and the lateness of timers; the rest is processor time that grows with the
-//! shards: reading replies, folding them, writing their proofs.
+//! The load pattern: answers over hundreds of shards at nodes with an eighth of a core. The network path to the caller
+//! and the lateness of timers are fixed; the rest is processor time that grows with the number of shards: reading the
+//! replies, folding them and writing their proofs.
 
 use std::time::Duration;
 
 use streamfold_model::CoreShare;
 
-/// The way from and to the caller (up to 3 ms each), and timers that fire late.
-const FIXED: Duration = Duration::from_millis(11);
-/// Processor time of an answer, on a whole core, and of each of its shards: on an eighth of a core 180 shards take
-/// longer than any fixed margin that a stronger node could afford.
+/// The network path from and to the caller (up to 3 ms each way), and the lateness of timers.
+const FIXED_MARGIN: Duration = Duration::from_millis(11);
+/// Processor time of an answer on a whole core, and of each of its shards. It is counted per shard because 180 shards
+/// on an eighth of a core take longer than any fixed margin that a stronger node could afford.
 const ANSWER_WORK: Duration = Duration::from_micros(150);
 const SHARD_WORK: Duration = Duration::from_micros(4);
-/// The margin of a node whose processor is not known.
-const UNKNOWN_POWER: Duration = Duration::from_millis(12);
+/// The margin of a node whose processor power is unknown.
+const UNKNOWN_POWER_MARGIN: Duration = Duration::from_millis(12);
 
-/// How long before the target an answer of so many shards is decided at a node.
+/// How long before its target latency a node completes an answer over `shards` shards.
 pub fn answer_margin(shards: usize, power: Option<CoreShare>) -> Duration {
     let work = ANSWER_WORK + SHARD_WORK * shards as u32;
-    power.map_or(UNKNOWN_POWER, |power| FIXED + power.stretch(work))
+    power.map_or(UNKNOWN_POWER_MARGIN, |power| FIXED_MARGIN + power.stretch(work))
 }
