--- a/crates/policy/src/fold_rule.rs
+++ b/crates/policy/src/fold_rule.rs
@@ -1,47 +1,48 @@
-//! When a query over many shards is answered with what is there.
+//! When a query over many shards is answered with the shards that have replied (a partial result).
 
 use std::time::Duration;
 
-/// The figures of one query.
+/// The time limits and coverage of one query.
 #[derive(Debug, Clone, Copy)]
 pub struct FoldRule {
-    /// An answer counts most up to here, measured from the request's arrival.
+    /// The target latency, from the request's arrival; an answer has its full value until then.
     pub target: Duration,
-    /// No answer counts after this.
+    /// The time after arrival from which an answer has no value.
     pub limit: Duration,
-    /// The least share of shards that makes an answer.
+    /// The minimum share of shards in an answer.
     pub min_coverage: f64,
-    /// Shards in all.
+    /// The total number of shards.
     pub shards: usize,
 }
 
-/// What to do now.
+/// The next step of a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FoldStep {
-    /// Answer with what is there.
+    /// Answer with the replies so far.
     Answer,
-    /// Wait for more, at most until so long after the arrival.
+    /// Wait for more replies, at most until this time after the arrival.
     Wait(Duration),
-    /// No answer can be given any more.
+    /// The minimum coverage can no longer be reached.
     GiveUp,
 }
 
 impl FoldRule {
-    /// Whether so many shards make an answer.
+    /// Whether this number of shards reaches the minimum coverage.
     pub fn is_enough(&self, answered: usize) -> bool {
-        // Half a shard of tolerance would be wrong here; a billionth only undoes rounding.
+        // The tolerance of a billionth only cancels rounding errors; half a shard would accept too few shards.
         answered > 0 && answered as f64 >= self.min_coverage * self.shards as f64 - 1e-9
     }
 
-    /// The fewest shards that make an answer; more than there are if none do.
+    /// The minimum number of shards in an answer; one more than `shards` if even all are too few.
     pub fn min_answers(&self) -> usize {
         (1..=self.shards).find(|count| self.is_enough(*count)).unwrap_or(self.shards + 1)
     }
 
-    /// What to do with `answered` shards there and `pending` still expected. An answer is
-    /// worth the square of its share of shards; a late one is worth a tenth of a timely one, so
-    /// a part in time goes before the whole late. Once late, the first answer that may be
-    /// given is given.
+    /// Decides the next step with `answered` replies so far and `pending` ones still expected.
+    ///
+    /// The value of an answer is the square of its share of shards, and a late answer has a tenth of the value of a
+    /// timely one, so a partial answer in time is preferred to a complete late one. After the target, the query is
+    /// answered as soon as the minimum coverage is reached.
     pub fn step(&self, elapsed: Duration, answered: usize, pending: usize) -> FoldStep {
         let is_enough = self.is_enough(answered);
         if answered == self.shards {
