--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -1,7 +1,7 @@
-//! Budgets of tokens earned by work done and spent on extra work.
+//! Token budgets for hedges and retries: first attempts earn tokens, extra attempts spend them.
 
-/// Extra attempts as a share of first attempts, with a small reserve so that a quiet
-/// upstream can still afford one.
+/// A budget that limits extra attempts to a share of first attempts, with a small reserve so that an upstream with
+/// little traffic can still afford one.
 #[derive(Debug, Clone)]
 pub struct TokenBudget {
     reserve: f64,
@@ -9,17 +9,17 @@
 }
 
 impl TokenBudget {
-    /// A full budget that holds at most `reserve` tokens.
+    /// Creates a full budget that holds at most `reserve` tokens.
     pub fn new(reserve: f64) -> Self {
         Self { reserve, tokens: reserve }
     }
 
-    /// Notes one first attempt, which earns `share` of a token.
+    /// Records one first attempt, which earns `share` of a token.
     pub fn earn(&mut self, share: f64) {
         self.tokens = (self.tokens + share).min(self.reserve);
     }
 
-    /// Takes one token if there is one.
+    /// Takes one token; false if there is none.
     pub fn spend(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/crates/policy/src/extra_budget.rs
+++ b/crates/policy/src/extra_budget.rs
@@ -1,25 +1,26 @@
-//! Extra calls to a service within a sliding window: a share of the requests for it and a
-//! node's part of a fixed allowance. The shares of all nodes add up by themselves, so the
-//! budget of the whole fleet holds without a word between them.
+//! A budget for extra calls (hedges and retries) to a service within a sliding window: a share of the requests for it
+//! and the node's part of a fixed allowance. The parts of all nodes add up to the budget of the fleet, so it holds
+//! without communication between nodes.
 
 use std::time::Duration;
 
 use crate::moment::Moment;
 
-/// Buckets of a window; more make the count finer and the window's edge sharper.
+/// Buckets per window; more buckets make the counts finer and the window's edge more exact.
 const BUCKETS: u64 = 20;
 
-/// The bounds on extra calls.
+/// The limits on extra calls.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ExtraLimits {
     /// Extra calls as a share of requests.
     pub ratio: f64,
-    /// The length of the window.
+    /// The length of the sliding window.
     pub window: Duration,
-    /// This node's part of the fixed allowance in each window.
+    /// This node's part of the fixed allowance, in calls per window.
     pub allowance: f64,
 }
 
+/// The counts of one part of the window.
 #[derive(Debug, Clone, Copy, Default)]
 struct CountBucket {
     number: u64,
@@ -27,10 +28,10 @@
     extras: f64,
 }
 
-/// Counts of one service at one node.
+/// The extra-call budget of one service at one node.
 #[derive(Debug, Clone)]
 pub struct ExtraBudget {
-    // One bucket more than the window has, so that the oldest counts are whole.
+    // One bucket more than the window has, so that the counts of the oldest one are complete.
     buckets: [CountBucket; BUCKETS as usize + 1],
 }
 
@@ -56,19 +57,19 @@
         bucket
     }
 
-    /// Notes a request for the service; `share` is under 1 where another node counts the rest.
+    /// Records a request for the service; `share` is below 1 where another node counts the rest.
     pub fn note_request(&mut self, now: Moment, limits: &ExtraLimits, share: f64) {
         self.bucket(now, limits).requests += share;
     }
 
-    /// Takes one extra call if the budget has it.
+    /// Takes one extra call from the budget; false if the budget does not allow it.
     pub fn spend(&mut self, now: Moment, limits: &ExtraLimits) -> bool {
         let number = Self::number(now, limits);
         let recent = self.buckets.iter().filter(|bucket| bucket.number > 0 && bucket.number + BUCKETS >= number);
         let (mut requests, mut extras) = (0.0, 0.0);
         for bucket in recent {
             extras += bucket.extras;
-            // The oldest bucket lies partly outside the window: its extras count, its requests do not.
+            // The oldest bucket is partly outside the window: its extra calls count, its requests do not.
             if bucket.number + BUCKETS > number {
                 requests += bucket.requests;
             }
