--- a/crates/policy/src/domain_credit.rs
+++ b/crates/policy/src/domain_credit.rs
@@ -1,7 +1,8 @@
-//! A team's credit in one failure domain, as the node has it that deals it out.
+//! A team's credit in one failure domain, on the node that grants it.
 //!
-//! The load pattern: many callers of a team come in one failure domain and few in another, by turns. What the failure
-//! domain earns itself lasts; what it has of the team's pool ends soon, so that the next one can have it.
+//! The load pattern: many callers of a team arrive in one failure domain and few in another, and this alternates.
+//! Credit that the failure domain earns itself does not expire; credit from the team's pool expires soon, so that the
+//! next failure domain can have it.
 
 use std::time::Duration;
 
@@ -11,64 +12,66 @@
 use crate::reservation_table::{ReservationCounts, ReservationOffer, ReservationRequest, ReservationTable};
 use crate::usage_credit::PoolGrant;
 
-/// How long credit that was lent may be used. The pool earns as much again meanwhile, so it adds to what a window
-/// may see.
-const LENT_FOR: Duration = Duration::from_millis(500);
-/// How fast the demand of a failure domain is forgotten: a few requests of a team that sends some a second.
-const DEMAND_MEMORY: Duration = Duration::from_secs(1);
-/// How fast it is forgotten what the pool has lent: some places' time of a team that sends some requests a second.
-const LOAN_MEMORY: Duration = Duration::from_secs(5);
-/// The share of what the pool has lent lately that is promised to places: other failure domains ask it too.
-const PROMISED_SHARE: f64 = 0.7;
-/// The first place is no sooner: a caller's way back.
-const SHORTEST_PLACE: Duration = Duration::from_millis(5);
-/// Fewer requests than this of the pool within its memory tell no rate.
-const FEW_LENT: f64 = 0.5;
-/// A pool without credit is asked again after this at the latest: another failure domain may have given some back.
+/// How long credit from the pool may be used. The pool earns as much again meanwhile, so unused grants add to the
+/// requests that a window may see.
+const GRANT_LIFE: Duration = Duration::from_millis(500);
+/// Time constant with which the measured demand of a failure domain decays: a few requests of a team that sends some
+/// per second.
+const DEMAND_DECAY: Duration = Duration::from_secs(1);
+/// Time constant with which the measured grants of the pool decay: the time of some reservations of a team that sends
+/// some requests per second.
+const GRANT_DECAY: Duration = Duration::from_secs(5);
+/// The share of the pool's recent grant rate that reservations may count on: other failure domains use the pool too.
+const RESERVABLE_SHARE: f64 = 0.7;
+/// Minimum wait of the first reservation: the network path of the refusal to its caller.
+const MIN_RESERVATION_WAIT: Duration = Duration::from_millis(5);
+/// Minimum recent grants, decayed by [`GRANT_DECAY`], from which the pool's rate is known.
+const MIN_RECENT_GRANTS: f64 = 0.5;
+/// Maximum time until a pool without credit is asked again: other failure domains may have returned some.
 const MAX_POOL_WAIT: Duration = Duration::from_millis(500);
 
-/// Credit that grows by a rate up to a most.
+/// A token bucket whose rate and capacity are passed in on each refill.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct CreditBucket {
     credit: f64,
-    filled: Moment,
+    last_refill: Moment,
 }
 
 impl CreditBucket {
-    /// Credit as of now.
+    /// Creates a bucket with this credit as of now.
     pub(crate) fn new(now: Moment, credit: f64) -> Self {
-        Self { credit, filled: now }
+        Self { credit, last_refill: now }
     }
 
-    /// Earns what came in since.
-    pub(crate) fn fill(&mut self, now: Moment, rate: f64, most: f64) {
-        let earned = now.since(self.filled).as_secs_f64() * rate;
-        self.credit = (self.credit + earned).min(most);
-        self.filled = self.filled.max(now);
+    /// Adds the credit earned since the last refill, up to `cap`.
+    pub(crate) fn refill(&mut self, now: Moment, rate: f64, cap: f64) {
+        let earned = now.since(self.last_refill).as_secs_f64() * rate;
+        self.credit = (self.credit + earned).min(cap);
+        self.last_refill = self.last_refill.max(now);
     }
 
-    /// Whether nobody has asked for so long.
+    /// Whether the bucket was not refilled, that is not requested from, for this time.
     pub(crate) fn is_idle(&self, now: Moment, gap: Duration) -> bool {
-        now.since(self.filled) >= gap
+        now.since(self.last_refill) >= gap
     }
 
-    /// Takes one if it is there.
+    /// Takes credit for one request; false if there is none.
     fn take(&mut self) -> bool {
-        let is_there = self.credit >= 1.0;
-        if is_there {
+        let is_available = self.credit >= 1.0;
+        if is_available {
             self.credit -= 1.0;
         }
-        is_there
+        is_available
     }
 
-    /// Takes as many as there are of those wanted.
+    /// Takes credit for as many of the wanted requests as there is, and returns their number.
     pub(crate) fn take_some(&mut self, wanted: u32) -> u32 {
         let requests = (self.credit as u32).min(wanted);
         self.credit -= f64::from(requests);
         requests
     }
 
-    /// How long until there is one.
+    /// Time until there is credit for one request.
     pub(crate) fn wait(&self, rate: f64) -> Duration {
         let missing = (1.0 - self.credit).max(0.0);
         Duration::try_from_secs_f64(missing / rate).unwrap_or(MAX_POOL_WAIT)
@@ -79,171 +82,180 @@
 #[derive(Debug, Clone)]
 pub(crate) struct DomainCredit {
     own: CreditBucket,
-    /// What it may save.
-    own_most: f64,
-    lent: u32,
-    lent_until: Moment,
-    pool_again: Moment,
-    /// Requests a second, lately.
+    /// Capacity of `own`.
+    own_cap: f64,
+    /// Unused credit from the pool, and when it expires.
+    pool_credit: u32,
+    pool_credit_until: Moment,
+    /// When the pool may be asked again.
+    next_pool_request: Moment,
+    /// Recent requests per second, as of `last_request`.
     demand: f64,
-    asked: Moment,
-    /// Requests a second that the pool has lent, as of when it last did.
-    lent_rate: f64,
-    loaned: Moment,
-    /// When the pool has credit by its own word.
-    pool_has: Option<Moment>,
-    places: ReservationTable,
+    last_request: Moment,
+    /// Recent grants of the pool in requests per second, as of `last_grant`.
+    grant_rate: f64,
+    last_grant: Moment,
+    /// When the pool reported that it has credit again.
+    pool_ready_at: Option<Moment>,
+    reservations: ReservationTable,
 }
 
 impl DomainCredit {
-    /// Credit since this node may have dealt it out; no more than one, since another node may have until now.
+    /// Creates a team's credit, earned since this node became its granter; at most one, since another node may have
+    /// granted credit until now.
     pub(crate) fn new(now: Moment, since: Moment, rate: f64) -> Self {
         let earned = now.since(since).as_secs_f64() * rate;
         Self {
             own: CreditBucket::new(now, earned.min(1.0)),
-            own_most: 0.0,
-            lent: 0,
-            lent_until: now,
-            pool_again: now,
+            own_cap: 0.0,
+            pool_credit: 0,
+            pool_credit_until: now,
+            next_pool_request: now,
             demand: 0.0,
-            asked: now,
-            lent_rate: 0.0,
-            loaned: now,
-            pool_has: None,
-            places: ReservationTable::default(),
+            last_request: now,
+            grant_rate: 0.0,
+            last_grant: now,
+            pool_ready_at: None,
+            reservations: ReservationTable::default(),
         }
     }
 
-    /// Whether nobody has asked for so long.
+    /// Whether no request arrived for this time.
     pub(crate) fn is_idle(&self, now: Moment, gap: Duration) -> bool {
         self.own.is_idle(now, gap)
     }
 
+    /// Records one request in the measured demand.
     pub(crate) fn note_demand(&mut self, now: Moment) {
-        let memory = DEMAND_MEMORY.as_secs_f64();
-        let kept = (-now.since(self.asked).as_secs_f64() / memory).exp();
-        self.demand = self.demand * kept + 1.0 / memory;
-        self.asked = now;
+        let time_constant = DEMAND_DECAY.as_secs_f64();
+        let remaining = (-now.since(self.last_request).as_secs_f64() / time_constant).exp();
+        self.demand = self.demand * remaining + 1.0 / time_constant;
+        self.last_request = now;
     }
 
-    /// Earns what came in since, up to what the failure domain may save.
-    pub(crate) fn fill(&mut self, now: Moment, rate: f64, most: f64) {
-        self.own_most = most;
-        self.own.fill(now, rate, most);
+    /// Adds the credit that the failure domain earned since the last refill, up to `cap`.
+    pub(crate) fn refill(&mut self, now: Moment, rate: f64, cap: f64) {
+        self.own_cap = cap;
+        self.own.refill(now, rate, cap);
     }
 
-    /// Takes one if it is there.
+    /// Takes credit for one request; false if there is none.
     pub(crate) fn take(&mut self, now: Moment) -> bool {
-        self.take_lent(now) || self.own.take()
+        self.take_pool_credit(now) || self.own.take()
     }
 
-    /// Whether the pool may have credit again.
+    /// Whether the pool may be asked now.
     pub(crate) fn may_ask_pool(&self, now: Moment) -> bool {
-        now >= self.pool_again
+        now >= self.next_pool_request
     }
 
-    /// How long until there may be one.
+    /// Time until there may be credit for one request.
     pub(crate) fn wait(&self, now: Moment, rate: f64) -> Duration {
-        let pool_wait = self.pool_again.since(now);
+        let pool_wait = self.next_pool_request.since(now);
         self.own.wait(rate).min(pool_wait.max(Duration::from_millis(1)))
     }
 
-    /// Takes what the pool has lent; `None` where it could not be asked.
-    pub(crate) fn note_grant(&mut self, now: Moment, loan: Option<PoolGrant>) {
-        self.pool_has = loan.map(|loan| now.plus(loan.wait));
-        let loan = loan.unwrap_or(PoolGrant { requests: 0, wait: MAX_POOL_WAIT });
-        if loan.requests > 0 {
-            self.note_lent(now, loan.requests);
-            self.drop_lapsed(now);
-            self.lent += loan.requests;
-            self.lent_until = now.plus(LENT_FOR);
+    /// Records the pool's grant; `None` if the pool could not be asked.
+    pub(crate) fn note_grant(&mut self, now: Moment, grant: Option<PoolGrant>) {
+        self.pool_ready_at = grant.map(|grant| now.plus(grant.wait));
+        let grant = grant.unwrap_or(PoolGrant { requests: 0, wait: MAX_POOL_WAIT });
+        if grant.requests > 0 {
+            self.note_grant_rate(now, grant.requests);
+            self.drop_expired_grant(now);
+            self.pool_credit += grant.requests;
+            self.pool_credit_until = now.plus(GRANT_LIFE);
         } else {
-            self.pool_again = now.plus(loan.wait.min(MAX_POOL_WAIT));
+            self.next_pool_request = now.plus(grant.wait.min(MAX_POOL_WAIT));
         }
     }
 
-    /// Gives up the places that nobody came for.
-    pub(crate) fn release_places(&mut self, now: Moment) {
-        self.places.release(now);
+    /// Drops the reservations that expired unused.
+    pub(crate) fn release_reservations(&mut self, now: Moment) {
+        self.reservations.release_expired(now);
     }
 
-    /// What became of places since this was last called.
+    /// The counts of reservation outcomes since the last call of this function.
     pub(crate) fn take_reservation_counts(&mut self) -> ReservationCounts {
-        self.places.take_counts()
+        self.reservations.take_counts()
     }
 
-    fn drop_lapsed(&mut self, now: Moment) {
-        if now >= self.lent_until {
-            self.lent = 0;
+    /// Drops pool credit that has expired.
+    fn drop_expired_grant(&mut self, now: Moment) {
+        if now >= self.pool_credit_until {
+            self.pool_credit = 0;
         }
     }
 
-    fn take_lent(&mut self, now: Moment) -> bool {
-        self.drop_lapsed(now);
-        let is_there = self.lent > 0;
-        self.lent = self.lent.saturating_sub(1);
-        is_there
+    /// Takes pool credit for one request; false if there is none.
+    fn take_pool_credit(&mut self, now: Moment) -> bool {
+        self.drop_expired_grant(now);
+        let is_available = self.pool_credit > 0;
+        self.pool_credit = self.pool_credit.saturating_sub(1);
+        is_available
     }
 
-    /// Takes one back: into the failure domain's own where it may save, else into what was lent and ends with that.
+    /// Takes back the credit of one request: into the failure domain's own bucket if that may accumulate credit,
+    /// otherwise into the pool credit, with which it expires.
     pub(crate) fn take_back(&mut self) {
-        if self.own_most > 0.0 {
-            self.own.credit = (self.own.credit + 1.0).min(self.own_most);
+        if self.own_cap > 0.0 {
+            self.own.credit = (self.own.credit + 1.0).min(self.own_cap);
         } else {
-            self.lent += 1;
+            self.pool_credit += 1;
         }
     }
 
-    /// Requests that could run now.
-    fn in_hand(&self) -> usize {
-        self.own.credit as usize + self.lent as usize
+    /// The number of requests that have credit now.
+    fn available(&self) -> usize {
+        self.own.credit as usize + self.pool_credit as usize
     }
 
-    /// Takes credit for a caller at its place, or beyond what is kept for places. What falls due while credit that is
-    /// lent now would last counts as kept.
+    /// Takes credit for a caller with a due reservation, or credit beyond the reserved amount. Reservations that fall
+    /// due within the life of pool credit count as reserved.
     pub(crate) fn take_reserved(&mut self, now: Moment, content: ContentId) -> bool {
-        self.drop_lapsed(now);
-        let (in_hand, kept) = (self.in_hand(), self.places.count_due(now, LENT_FOR));
-        let is_free = in_hand > kept;
-        let is_granted = in_hand > 0 && (self.places.take_due(now, content) || is_free);
+        self.drop_expired_grant(now);
+        let (available, reserved) = (self.available(), self.reservations.count_due(now, GRANT_LIFE));
+        let has_unreserved = available > reserved;
+        let is_granted = available > 0 && (self.reservations.take_due(now, content) || has_unreserved);
         is_granted && self.take(now)
     }
 
-    /// How many to ask the pool for: so many as callers are about to use, or places are about to need.
+    /// The number of requests to ask the pool for: those that reservations are about to need, or the expected demand.
     pub(crate) fn wanted(&self, now: Moment) -> u32 {
-        let kept = self.places.count_due(now, LENT_FOR);
-        let soon = if kept > 0 { kept + 1 - self.in_hand().min(kept) } else { self.soon() };
-        u32::try_from(soon).unwrap_or(u32::MAX).max(1)
+        let reserved = self.reservations.count_due(now, GRANT_LIFE);
+        let expected_demand = if reserved > 0 { reserved + 1 - self.available().min(reserved) } else { self.expected_demand() };
+        u32::try_from(expected_demand).unwrap_or(u32::MAX).max(1)
     }
 
-    /// Requests that are about to come.
-    fn soon(&self) -> usize {
-        (self.demand * LENT_FOR.as_secs_f64()) as usize
+    /// The number of requests expected within the life of pool credit.
+    fn expected_demand(&self) -> usize {
+        (self.demand * GRANT_LIFE.as_secs_f64()) as usize
     }
 
-    /// Requests a second that the pool lends.
+    /// The pool's recent grant rate, in requests per second.
     fn pool_rate(&self, now: Moment) -> f64 {
-        let age = now.since(self.loaned).as_secs_f64() / LOAN_MEMORY.as_secs_f64();
-        self.lent_rate * (-age).exp()
+        let age = now.since(self.last_grant).as_secs_f64() / GRANT_DECAY.as_secs_f64();
+        self.grant_rate * (-age).exp()
     }
 
-    fn note_lent(&mut self, now: Moment, requests: u32) {
-        self.lent_rate = self.pool_rate(now) + f64::from(requests) / LOAN_MEMORY.as_secs_f64();
-        self.loaned = now;
+    /// Adds a grant to the pool's grant rate.
+    fn note_grant_rate(&mut self, now: Moment, requests: u32) {
+        self.grant_rate = self.pool_rate(now) + f64::from(requests) / GRANT_DECAY.as_secs_f64();
+        self.last_grant = now;
     }
 
-    /// The next place of a caller that is refused.
-    pub(crate) fn offer_place(&mut self, now: Moment, own_rate: f64, ask: &ReservationRequest) -> ReservationOffer {
-        // Somebody came for it, and it was in vain.
-        self.places.miss_due(now, ask.content);
+    /// Offers the next reservation to a refused caller. `own_rate` is the credit that the failure domain earns per
+    /// second.
+    pub(crate) fn offer_reservation(&mut self, now: Moment, own_rate: f64, request: &ReservationRequest) -> ReservationOffer {
+        // A due reservation of this caller could not be served; the caller gets another one.
+        self.reservations.miss_due(now, request.content);
         let pool_rate = self.pool_rate(now);
-        let rate = own_rate + pool_rate * PROMISED_SHARE;
+        let rate = own_rate + pool_rate * RESERVABLE_SHARE;
         let missing = (1.0 - self.own.credit).max(0.0);
         let own_first = Duration::try_from_secs_f64(missing / rate).unwrap_or(Duration::MAX);
-        // The pool's word is for all failure domains; it is taken where no others seem to ask.
-        let is_quiet = pool_rate * LOAN_MEMORY.as_secs_f64() < FEW_LENT;
-        let pool_first = self.pool_has.filter(|_| is_quiet).map(|at| at.since(now));
+        // The time reported by the pool is for all failure domains; it is used if no other one seems to use the pool.
+        let is_rarely_used = pool_rate * GRANT_DECAY.as_secs_f64() < MIN_RECENT_GRANTS;
+        let pool_first = self.pool_ready_at.filter(|_| is_rarely_used).map(|at| at.since(now));
         let first = pool_first.map_or(own_first, |pool| pool.min(own_first));
-        self.places.offer(now, first.max(SHORTEST_PLACE), rate, ask)
+        self.reservations.offer(now, first.max(MIN_RESERVATION_WAIT), rate, request)
     }
 }
