--- a/crates/policy/tests/priority_level.rs
+++ b/crates/policy/tests/priority_level.rs
@@ -1,4 +1,4 @@
-//! Which priorities are let in: it follows what lasts, does not swing, and the most urgent always are.
+//! The admitted priority level follows lasting load, does not oscillate, and always admits the most urgent priority.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 use streamfold_policy::entry_gate::{EntryDecision, EntryGate, EntryRequest, EntryRule};
 
 const TARGET: Duration = Duration::from_millis(100);
-/// Time between two requests of the replays.
-const EVERY: Duration = Duration::from_millis(10);
+/// Time between two rounds of requests in the replays.
+const INTERVAL: Duration = Duration::from_millis(10);
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// Asks as they come; the times at which the number of closed priorities changed.
+/// A replay of arriving requests, with the times at which the number of closed priorities changed.
 struct Replay {
     gate: EntryGate,
     now: Moment,
@@ -27,33 +27,32 @@
         Self { gate: EntryGate::default(), now: Moment::default().plus(ms(1_000)), changes: Vec::new() }
     }
 
-    fn ask(&mut self, priority: u32, waited: Duration) -> EntryDecision {
+    fn request(&mut self, priority: u32, waited: Duration) -> EntryDecision {
         let before = self.gate.level().closed();
-        let ask =
-            EntryRequest { priority: Priority(priority), target: TARGET, left: ms(1_000), expected: None, waited };
-        let step = self.gate.decide(self.now, &ask);
+        let request = EntryRequest { priority: Priority(priority), target: TARGET, left: ms(1_000), expected: None, waited };
+        let decision = self.gate.decide(self.now, &request);
         let after = self.gate.level().closed();
         if after != before {
             let at = self.now.since(Moment::default().plus(ms(1_000)));
             self.changes.push(format!("{} ms: {after} closed", at.as_millis()));
         }
-        step
+        decision
     }
 
-    /// Requests of three priorities for a time, whose calls wait so long.
+    /// Sends requests of three priorities for a time, with the wait in milliseconds of the calls of each.
     fn run(&mut self, span: Duration, waits: [u64; 3]) {
         let end = self.now.plus(span);
         while self.now < end {
             for (priority, wait) in (0..).zip(waits) {
-                self.ask(priority, ms(wait));
+                self.request(priority, ms(wait));
             }
-            self.now = self.now.plus(EVERY);
+            self.now = self.now.plus(INTERVAL);
         }
     }
 }
 
 #[test]
-fn levels_close_after_long_waits_one_by_one_and_open_more_slowly() {
+fn levels_close_one_by_one_after_long_waits_and_open_more_slowly() {
     let mut replay = Replay::new();
     replay.run(ms(3_000), [80, 120, 300]);
     replay.run(ms(8_000), [5, 5, 5]);
@@ -61,7 +60,7 @@
 }
 
 #[test]
-fn a_route_with_a_long_target_does_not_hide_that_another_misses_its_own() {
+fn a_route_with_a_long_target_does_not_hide_that_another_route_misses_its_target() {
     let mut gate = EntryGate::default();
     let mut now = Moment::default().plus(ms(1_000));
     for _ in 0..200 {
@@ -69,13 +68,13 @@
             let priority = Priority(priority);
             gate.decide(now, &EntryRequest { priority, target, left: ms(4_000), expected: None, waited: ms(90) });
         }
-        now = now.plus(EVERY);
+        now = now.plus(INTERVAL);
     }
     assert_eq!(gate.level().closed(), 1);
 }
 
 #[test]
-fn a_pause_of_servers_closes_nothing() {
+fn a_pause_of_servers_closes_no_priority() {
     let mut replay = Replay::new();
     for _ in 0..20 {
         replay.run(ms(250), [200, 250, 250]);
@@ -85,7 +84,7 @@
 }
 
 #[test]
-fn waits_between_short_and_long_change_nothing() {
+fn waits_between_short_and_long_change_no_level() {
     let mut replay = Replay::new();
     replay.run(ms(10_000), [40, 40, 40]);
     assert_eq!(replay.changes, Vec::<String>::new());
@@ -97,60 +96,60 @@
 }
 
 #[test]
-fn a_flood_of_the_least_urgent_that_harms_no_other_closes_nothing() {
+fn an_overload_of_the_least_urgent_that_delays_no_other_closes_no_priority() {
     let mut replay = Replay::new();
     replay.run(ms(5_000), [0, 5, 900]);
     assert_eq!(replay.changes, Vec::<String>::new());
 }
 
-/// Calls of all priorities in one line of a service, first come first served, for half a minute: a flood of the
-/// least urgent comes that is more than can be served.
-fn flood(millis: u64) -> Replay {
+/// Calls of all priorities in one FIFO queue of a service, for `millis` milliseconds: more calls of the least urgent
+/// priority arrive than can be served.
+fn overload(millis: u64) -> Replay {
     let mut replay = Replay::new();
     let mut backlog = Duration::ZERO;
     let end = replay.now.plus(ms(millis));
     while replay.now < end {
-        // One urgent call, one less so, and eight of the flood come in each step, of two milliseconds' work each.
+        // One urgent call, one less urgent and eight of the least urgent arrive in each step, with 2 ms of work each.
         for priority in [0, 1, 2, 2, 2, 2, 2, 2, 2, 2] {
-            if replay.ask(priority, backlog) == EntryDecision::Admit {
+            if replay.request(priority, backlog) == EntryDecision::Admit {
                 backlog += ms(2);
             }
         }
-        replay.now = replay.now.plus(EVERY);
-        backlog = backlog.saturating_sub(EVERY);
+        replay.now = replay.now.plus(INTERVAL);
+        backlog = backlog.saturating_sub(INTERVAL);
     }
     replay
 }
 
 #[test]
-fn a_flood_of_the_least_urgent_makes_them_give_way_and_the_level_does_not_swing() {
-    let replay = flood(30_000);
+fn an_overload_of_the_least_urgent_makes_them_yield_and_the_level_does_not_oscillate() {
+    let replay = overload(30_000);
     insta::assert_snapshot!(replay.changes.join("\n"));
-    // Of the urgent ones nothing is closed, and each opening takes twice as long as the one before.
+    // No urgent priority is closed, and each opening takes twice as long as the one before.
     assert!(replay.changes.iter().all(|change| change.ends_with("0 closed") || change.ends_with("1 closed")));
     assert!(replay.changes.len() <= 8, "{:?}", replay.changes);
 }
 
 #[test]
-fn the_time_told_is_when_the_level_opens_if_waits_are_short() {
+fn the_reported_wait_is_the_time_until_the_level_opens_if_waits_are_short() {
     let mut replay = Replay::new();
     replay.run(ms(1_500), [80, 120, 300]);
-    let EntryDecision::Yield { wait } = replay.ask(2, ms(0)) else { panic!("not turned away") };
-    replay.now = replay.now.plus(wait - EVERY);
-    assert!(matches!(replay.ask(2, ms(0)), EntryDecision::Yield { .. }));
-    replay.now = replay.now.plus(EVERY);
-    assert_eq!(replay.ask(2, ms(0)), EntryDecision::Admit);
+    let EntryDecision::Yield { wait } = replay.request(2, ms(0)) else { panic!("not refused") };
+    replay.now = replay.now.plus(wait - INTERVAL);
+    assert!(matches!(replay.request(2, ms(0)), EntryDecision::Yield { .. }));
+    replay.now = replay.now.plus(INTERVAL);
+    assert_eq!(replay.request(2, ms(0)), EntryDecision::Admit);
 }
 
 quickcheck! {
-    /// Requests of the most urgent priority never give way, whatever waits are told.
-    fn the_most_urgent_never_give_way(asks: Vec<(u8, u16, u8)>) -> bool {
+    /// Requests of the most urgent priority never yield, whatever waits are reported.
+    fn the_most_urgent_never_yield(requests: Vec<(u8, u16, u8)>) -> bool {
         let mut replay = Replay::new();
-        let most_urgent = asks.iter().map(|(priority, ..)| u32::from(*priority % 4)).min().unwrap_or_default();
-        for (priority, wait, later) in asks.iter().cycle().take(asks.len() * 20) {
+        let most_urgent = requests.iter().map(|(priority, ..)| u32::from(*priority % 4)).min().unwrap_or_default();
+        for (priority, wait, later) in requests.iter().cycle().take(requests.len() * 20) {
             let priority = u32::from(*priority % 4);
-            let step = replay.ask(priority, ms(u64::from(*wait)));
-            if priority == most_urgent && step != EntryDecision::Admit {
+            let decision = replay.request(priority, ms(u64::from(*wait)));
+            if priority == most_urgent && decision != EntryDecision::Admit {
                 return false;
             }
             replay.now = replay.now.plus(ms(u64::from(*later)));
