--- a/crates/policy/tests/entry_gate.rs
+++ b/crates/policy/tests/entry_gate.rs
@@ -1,4 +1,4 @@
-//! Requests that are not begun: what is refused could not have been answered, and no single word refuses anything.
+//! Requests refused on arrival could not have been answered in time, and no single report causes a refusal.
 
 use std::time::Duration;
 
@@ -9,27 +9,27 @@
 use streamfold_policy::replica::{CallSample, ReplicaState};
 use streamfold_policy::server_outlook::{FinishOutlook, ServerOutlook, ShardOutlook, expect_answers};
 
-/// What a call takes at a server of the usual pace.
+/// Service time of a call at a server of normal speed.
 const WORK: Duration = Duration::from_millis(20);
-/// How long servers stay slow: longer than a replay, so that what they told fades by little.
-const SPELL: Duration = Duration::from_secs(60);
+/// How long servers stay slow: longer than a replay, so that their reports hardly decay.
+const SLOW_PERIOD: Duration = Duration::from_secs(60);
 const TARGET: Duration = Duration::from_millis(100);
 const SLOTS: u32 = 2;
 const COPIES: usize = 3;
-/// How many times as slow a slow server is.
-const SLOW: f64 = 8.0;
+/// Slowdown factor of a slow server.
+const SLOWDOWN: f64 = 8.0;
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// A server of the model with what one node believes of it.
+/// A simulated server, and its state as one node believes it to be.
 struct ModelServer {
     pace: f64,
-    /// When each of its slots is free.
+    /// When each of its slots becomes free.
     free: [Moment; SLOTS as usize],
     belief: ReplicaState,
-    /// Answers that are on their way: when the call began and when it ends.
+    /// Calls without a received answer: when each began and when it ends.
     open: Vec<(Moment, Moment)>,
 }
 
@@ -39,7 +39,7 @@
         Self { pace, free: [Moment::default(); SLOTS as usize], belief, open: Vec::new() }
     }
 
-    /// When a call that comes now would be answered.
+    /// When a call that arrives now would be answered.
     fn finish(&self, now: Moment) -> Moment {
         let free = self.free.into_iter().min().expect("a slot");
         free.max(now).plus(WORK.mul_f64(self.pace))
@@ -54,7 +54,7 @@
         end
     }
 
-    /// Takes the answers that have come, with the pace and load that each tells.
+    /// Processes the answers received by now, with the pace and load that each reports.
     fn learn(&mut self, now: Moment) {
         let (ended, open): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.open).into_iter().partition(|(_, end)| *end <= now);
@@ -68,20 +68,20 @@
     }
 }
 
-/// Shards of some servers each, and one node that asks them.
+/// Simulated shards with some servers each, and one node that queries them.
 struct Model {
     shards: Vec<Vec<ModelServer>>,
     needed: usize,
     left: Duration,
 }
 
-/// What became of the requests of a replay.
+/// Counts of request outcomes in a replay.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Tally {
     begun: usize,
     in_time: usize,
     refused: usize,
-    /// Refused though it could have been answered.
+    /// Refused although they could have been answered in time.
     wrongly: usize,
 }
 
@@ -91,7 +91,7 @@
         Self { shards: (0..shards).map(servers).collect(), needed, left }
     }
 
-    /// When enough shards have answered, if each is asked at the server that is soonest.
+    /// When enough shards would have answered if each is queried at its fastest server.
     fn true_finish(&self, now: Moment) -> Moment {
         let best = |shard: &Vec<ModelServer>| shard.iter().map(|server| server.finish(now)).min().expect("a server");
         let mut finishes: Vec<Moment> = self.shards.iter().map(best).collect();
@@ -101,7 +101,7 @@
 
     fn expected(&self, now: Moment) -> Option<Duration> {
         let outlook = |shard: &Vec<ModelServer>| {
-            ShardOutlook::of(shard.iter().map(|server| server.belief.outlook(now, WORK, SPELL)), self.left)
+            ShardOutlook::of(shard.iter().map(|server| server.belief.outlook(now, WORK, SLOW_PERIOD)), self.left)
         };
         expect_answers(&self.shards.iter().map(outlook).collect::<Vec<_>>(), self.needed)
     }
@@ -109,9 +109,9 @@
     fn request(&mut self, now: Moment, gate: &mut dyn EntryRule, tally: &mut Tally) {
         self.shards.iter_mut().flatten().for_each(|server| server.learn(now));
         let expected = self.expected(now);
-        let ask = EntryRequest { priority: Priority(1), target: TARGET, left: self.left, expected, waited: ms(0) };
+        let request = EntryRequest { priority: Priority(1), target: TARGET, left: self.left, expected, waited: ms(0) };
         let could = self.true_finish(now) <= now.plus(self.left);
-        if gate.decide(now, &ask) != EntryDecision::Admit {
+        if gate.decide(now, &request) != EntryDecision::Admit {
             tally.refused += 1;
             tally.wrongly += usize::from(could);
             return;
@@ -119,7 +119,7 @@
         let mut ends: Vec<Moment> = Vec::new();
         for shard in &mut self.shards {
             let cost = |server: &ModelServer| {
-                server.belief.cost(now, streamfold_policy::replica::Distance::Domain, WORK, SPELL)
+                server.belief.cost(now, streamfold_policy::replica::Distance::Domain, WORK, SLOW_PERIOD)
             };
             let best = shard.iter_mut().min_by(|a, b| cost(a).total_cmp(&cost(b))).expect("a server");
             ends.push(best.call(now));
@@ -142,15 +142,15 @@
 
 #[test]
 fn a_third_of_the_servers_slow_refuses_nothing_while_each_shard_has_others() {
-    let mut model = Model::new(30, 28, ms(150), |_, copy| if copy == 0 { SLOW } else { 1.0 });
+    let mut model = Model::new(30, 28, ms(150), |_, copy| if copy == 0 { SLOWDOWN } else { 1.0 });
     let tally = model.replay(&mut EntryGate::default(), 400, ms(12));
     assert_eq!((tally.refused, tally.begun), (0, 400));
 }
 
 #[test]
-fn requests_that_shards_without_a_quick_server_make_hopeless_are_refused() {
-    let slow = |shard: usize, _| if shard.is_multiple_of(3) { SLOW } else { 1.0 };
-    // 160 ms of work do not fit into 150.
+fn requests_that_cannot_finish_in_time_for_lack_of_a_fast_server_are_refused() {
+    let slow = |shard: usize, _| if shard.is_multiple_of(3) { SLOWDOWN } else { 1.0 };
+    // 160 ms of work do not fit into a deadline of 150 ms.
     let with = Model::new(30, 28, ms(150), slow).replay(&mut EntryGate::default(), 400, ms(12));
     let without = Model::new(30, 28, ms(150), slow).replay(&mut AdmitAll, 400, ms(12));
     insta::assert_snapshot!(format!("with: {with:?}\nwithout: {without:?}"));
@@ -160,7 +160,7 @@
 
 #[test]
 fn the_same_servers_refuse_nothing_where_the_deadline_or_the_coverage_allows_for_them() {
-    let slow = |shard: usize, _| if shard.is_multiple_of(3) { SLOW } else { 1.0 };
+    let slow = |shard: usize, _| if shard.is_multiple_of(3) { SLOWDOWN } else { 1.0 };
     for (needed, left) in [(28, ms(4_000)), (20, ms(150))] {
         let tally = Model::new(30, needed, left, slow).replay(&mut EntryGate::default(), 400, ms(200));
         assert_eq!((tally.refused, tally.in_time), (0, 400), "{needed} {left:?}");
@@ -170,7 +170,7 @@
 #[test]
 fn shards_of_a_new_layout_are_unknown_and_refuse_nothing() {
     let mut gate = EntryGate::default();
-    let before = Model::new(30, 28, ms(150), |_, _| SLOW).replay(&mut gate, 200, ms(2));
+    let before = Model::new(30, 28, ms(150), |_, _| SLOWDOWN).replay(&mut gate, 200, ms(2));
     assert!(before.refused > 0, "{before:?}");
     let mut model = Model::new(40, 38, ms(150), |_, _| 1.0);
     let after = model.replay(&mut gate, 200, ms(12));
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_silent_server_counts_for_as_long_as_it_is_gone_round_and_is_tried_then() {
+fn a_silent_server_counts_while_it_is_avoided_and_is_tried_again_afterwards() {
     let mut belief = ReplicaState::new(SLOTS, Moment::default());
     let mut now = Moment::default().plus(ms(1_000));
     let mut told = Vec::new();
@@ -188,10 +188,10 @@
         now = now.plus(ms(60));
         belief.note_overdue(now, begun);
         belief.finish(now, begun, CallSample::Abandoned);
-        let outlook = belief.outlook(now, WORK, SPELL);
-        told.push(format!("{:?} words {}", outlook.finish, outlook.evidence));
+        let outlook = belief.outlook(now, WORK, SLOW_PERIOD);
+        told.push(format!("{:?} reports {}", outlook.finish, outlook.evidence));
         now = now.plus(outlook.finish);
-        assert_eq!(belief.outlook(now, WORK, SPELL), ServerOutlook::UNKNOWN);
+        assert_eq!(belief.outlook(now, WORK, SLOW_PERIOD), ServerOutlook::UNKNOWN);
     }
     insta::assert_snapshot!(told.join("\n"));
 }
@@ -205,50 +205,49 @@
         belief.finish(now, now, CallSample::Failed);
     }
     assert!(belief.is_avoided(now));
-    assert_eq!(belief.outlook(now, WORK, SPELL), ServerOutlook::UNKNOWN);
+    assert_eq!(belief.outlook(now, WORK, SLOW_PERIOD), ServerOutlook::UNKNOWN);
     let later = now.plus(ms(3_000));
     belief.note_overdue(later, later);
     let later = later.plus(ms(600));
     belief.finish(later, later, CallSample::Failed);
-    assert_eq!(belief.outlook(later, WORK, SPELL), ServerOutlook { finish: ms(2_000), evidence: 7 });
+    assert_eq!(belief.outlook(later, WORK, SLOW_PERIOD), ServerOutlook { finish: ms(2_000), evidence: 7 });
     belief.finish(later, later, CallSample::Answered);
-    assert_eq!(belief.outlook(later, WORK, SPELL), ServerOutlook::UNKNOWN);
+    assert_eq!(belief.outlook(later, WORK, SLOW_PERIOD), ServerOutlook::UNKNOWN);
 }
 
 #[test]
-fn the_wait_told_is_the_time_after_which_it_would_be_answered_within_its_target() {
-    let ask =
-        EntryRequest { priority: Priority(0), target: TARGET, left: ms(500), expected: Some(ms(900)), waited: ms(0) };
+fn the_reported_wait_is_the_time_after_which_the_target_can_be_met() {
+    let request = EntryRequest { priority: Priority(0), target: TARGET, left: ms(500), expected: Some(ms(900)), waited: ms(0) };
     let now = Moment::default().plus(ms(1_000));
-    let EntryDecision::CannotFinish { wait } = EntryGate::default().decide(now, &ask) else { panic!("not refused") };
-    let later = EntryRequest { expected: Some(ms(900) - wait), ..ask };
+    let EntryDecision::CannotFinish { wait } = EntryGate::default().decide(now, &request) else { panic!("not refused") };
+    let later = EntryRequest { expected: Some(ms(900) - wait), ..request };
     assert_eq!((wait, EntryGate::default().decide(now, &later)), (ms(800), EntryDecision::Admit));
-    assert_eq!(AdmitAll.decide(now, &ask), EntryDecision::Admit);
+    assert_eq!(AdmitAll.decide(now, &request), EntryDecision::Admit);
 }
 
-/// Outlooks from small numbers: each server's finish in tens of milliseconds and its words.
+/// Outlooks from small numbers: each server's finish in tens of milliseconds and its number of reports.
 fn outlooks(shards: &[Vec<(u8, u8)>]) -> Vec<Vec<ServerOutlook>> {
-    let server = |(finish, words): &(u8, u8)| ServerOutlook {
-        finish: ms(u64::from(*finish) * 10 * u64::from(*words % 4 > 0)),
-        evidence: u32::from(*words % 4),
+    let server = |(finish, reports): &(u8, u8)| ServerOutlook {
+        finish: ms(u64::from(*finish) * 10 * u64::from(*reports % 4 > 0)),
+        evidence: u32::from(*reports % 4),
     };
     shards.iter().map(|servers| servers.iter().map(server).collect()).collect()
 }
 
-fn is_hopeless(servers: &[Vec<ServerOutlook>], needed: usize, left: Duration) -> bool {
+fn cannot_finish(servers: &[Vec<ServerOutlook>], needed: usize, left: Duration) -> bool {
     let shards: Vec<ShardOutlook> = servers.iter().map(|shard| ShardOutlook::of(shard.iter().copied(), left)).collect();
     expect_answers(&shards, needed).is_some_and(|expected| expected > left)
 }
 
 quickcheck! {
-    /// Leaving any one word out changes no refusal, so a stale or wrong one alone refuses nothing.
-    fn no_single_word_refuses(shards: Vec<Vec<(u8, u8)>>, needed: usize, left: u8) -> TestResult {
+    /// Leaving out any single report changes no refusal, so one stale or wrong report alone refuses nothing.
+    fn no_single_report_refuses(shards: Vec<Vec<(u8, u8)>>, needed: usize, left: u8) -> TestResult {
         let servers = outlooks(&shards);
         if servers.is_empty() {
             return TestResult::discard();
         }
         let (needed, left) = (needed % servers.len() + 1, ms(u64::from(left) * 10));
-        if !is_hopeless(&servers, needed, left) {
+        if !cannot_finish(&servers, needed, left) {
             return TestResult::discard();
         }
         let mut holds = true;
@@ -258,7 +257,7 @@
                 let known = others[shard][server];
                 others[shard][server] = match known.evidence {
                     0 | 1 => ServerOutlook::UNKNOWN,
-                    words => ServerOutlook { evidence: words - 1, ..known },
+                    reports => ServerOutlook { evidence: reports - 1, ..known },
                 };
                 let shards: Vec<ShardOutlook> =
                     others.iter().map(|shard| ShardOutlook::of(shard.iter().copied(), left)).collect();
@@ -270,8 +269,8 @@
         TestResult::from_bool(holds)
     }
 
-    /// Where servers tell the truth, what is refused could not have been answered within its time.
-    fn what_is_refused_could_not_have_been_answered(paces: Vec<u8>, needed: usize, left: u8, every: u8) -> TestResult {
+    /// If servers report the truth, a refused request could not have been answered within its deadline.
+    fn refused_requests_could_not_have_been_answered_in_time(paces: Vec<u8>, needed: usize, left: u8, every: u8) -> TestResult {
         if paces.is_empty() {
             return TestResult::discard();
         }
