--- a/crates/policy/tests/budget_share.rs
+++ b/crates/policy/tests/budget_share.rs
@@ -1,9 +1,10 @@
-//! Who may spend the allowance of extra calls is who makes the calls, and together they never spend more.
+//! The nodes that make the calls may spend the allowance of extra calls, and together they do not exceed it.
 
 use quickcheck::quickcheck;
 use streamfold_policy::budget_share::{BudgetNode, BudgetNodes, divide_allowance};
 
-/// The parts of all nodes of a fleet: owners and others in each failure domain, servers in the first few.
+/// The parts of all nodes of a fleet. Each failure domain has a number of owners and of other nodes; the first
+/// `with_servers` of them have servers of the service.
 fn parts(allowance: f64, service: &str, domains: &[(usize, usize)], with_servers: usize, is_shard: bool) -> Vec<Part> {
     let nodes = BudgetNodes {
         all: domains.iter().map(|(owners, others)| owners + others).sum(),
@@ -33,40 +34,41 @@
     parts.iter().map(|part| part.calls).sum()
 }
 
-/// Six failure domains of ten strong and 154 weak nodes, and twice as many.
+/// Fleets of six failure domains with ten strong and 154 weak nodes each, and with about twice as many.
 const FLEETS: [[(usize, usize); 6]; 2] = [[(10, 154); 6], [(20, 313); 6]];
-/// The allowance of the largest deployment, as far as it is divided.
+/// The divided part of the allowance in the largest deployment.
 const ALLOWANCE: f64 = 832.0;
 
 #[test]
-fn in_a_fleet_the_owners_near_a_shard_can_spend_most_of_its_allowance() {
+fn owners_near_a_shard_can_spend_most_of_its_allowance() {
     for fleet in FLEETS {
         let parts = parts(ALLOWANCE, "shard-7", &fleet, 3, true);
-        let whole: f64 = parts.iter().filter(|part| part.is_owner && part.is_near).map(|part| part.calls.floor()).sum();
-        assert!(whole >= ALLOWANCE * 0.6, "{whole} whole calls of {ALLOWANCE}");
+        let whole_calls: f64 = parts.iter().filter(|part| part.is_owner && part.is_near).map(|part| part.calls.floor()).sum();
+        assert!(whole_calls >= ALLOWANCE * 0.6, "{whole_calls} whole calls of {ALLOWANCE}");
     }
 }
 
 #[test]
-fn in_a_fleet_most_of_the_allowance_of_a_lone_service_is_whole_calls() {
+fn most_of_the_allowance_of_an_unsharded_service_is_whole_calls() {
     for fleet in FLEETS {
         let parts = parts(ALLOWANCE, "billing", &fleet, 6, false);
-        let whole: f64 = parts.iter().map(|part| part.calls.floor()).sum();
-        assert!(whole >= ALLOWANCE * 0.8, "{whole} whole calls of {ALLOWANCE}");
+        let whole_calls: f64 = parts.iter().map(|part| part.calls.floor()).sum();
+        assert!(whole_calls >= ALLOWANCE * 0.8, "{whole_calls} whole calls of {ALLOWANCE}");
     }
 }
 
 #[test]
-fn among_few_equal_nodes_each_has_some() {
+fn each_of_a_few_equal_nodes_has_a_part() {
     let parts = parts(43.0, "shard-7", &[(3, 0), (2, 0), (2, 0)], 2, true);
     assert!(parts.iter().all(|part| part.calls >= 2.0));
     assert!((sum(&parts) - 43.0).abs() < 1e-6);
 }
 
 quickcheck! {
-    /// Whatever the fleet is like: what is dealt in whole calls is a matter of names, so the sum may go over by some
-    /// times its spread, and never beyond what is not divided.
-    fn the_parts_of_all_nodes_are_the_allowance(domains: Vec<(u8, u8)>, with_servers: u8, allowance: u16, service: String, is_shard: bool) -> bool {
+    /// The parts of any fleet together stay within the allowance. Parts below one call are rounded by a hash of the
+    /// node's name, so the sum may exceed the allowance by a few standard deviations, but not by more than the part
+    /// that is not divided.
+    fn the_parts_of_all_nodes_stay_within_the_allowance(domains: Vec<(u8, u8)>, with_servers: u8, allowance: u16, service: String, is_shard: bool) -> bool {
         let domains: Vec<(usize, usize)> =
             domains.into_iter().take(25).map(|(owners, others)| (usize::from(owners) + 1, usize::from(others))).collect();
         if domains.is_empty() {
