--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -220,7 +220,7 @@
         self.enqueue(request, tag, wait)
     }
 
-    /// Queues a request; if the queue is full, it takes the place of one of another caller or is refused.
+    /// Queues a request; if the queue is full, it displaces one of another caller or is refused.
     fn enqueue(&mut self, request: &AdmissionRequest, tag: T, wait: Duration) -> Admission<T> {
         let displaced = if self.waiting >= self.limit() as usize {
             match self.displace(&request.caller) {
--- a/crates/policy/src/usage_credit.rs
+++ b/crates/policy/src/usage_credit.rs
@@ -252,8 +252,8 @@
     ) -> PoolGrant {
         let rate = allowance.rate(limit) * allowance.pool_part();
         let cap = (allowance.requests * POOL_CAP_SHARE).max(1.0);
-        // Grants made before this node's start, or by another node before the granters changed, are older than the
-        // window once it has passed.
+        // Grants made before this node's start, or by another node before the granters changed, count against the limit
+        // for one window, so the initial credit grows over that time.
         let elapsed = now.since(self.since).as_secs_f64() / allowance.window.as_secs_f64().max(1.0);
         let make = || CreditBucket::new(now, cap * elapsed.min(1.0));
         let bucket = self.teams.entry(team.clone()).or_insert_with(make);
--- a/crates/policy/src/wait_tracker.rs
+++ b/crates/policy/src/wait_tracker.rs
@@ -87,7 +87,7 @@
     }
 }
 
-/// The lower median of the waits, so that the longest of several waits never counts alone; `None` if there is none.
+/// The lower median of the waits, so that the longest of several waits never counts alone; `None` without waits.
 fn lower_median(mut waits: Vec<MedianWait>) -> Option<MedianWait> {
     waits.sort_unstable_by_key(|wait| wait.wait);
     let age = waits.iter().map(|wait| wait.age).max()?;
--- a/crates/policy/tests/call_order.rs
+++ b/crates/policy/tests/call_order.rs
@@ -220,8 +220,8 @@
 fn callers_without_a_team_count_as_one_team() {
     let mut order = PriorityOrder::default().with_fair_queueing();
     let at = Moment(1_000_000);
-    let hold = Duration::from_secs(1);
-    let waiting = |team| call(Priority(1), team, at, hold, hold);
+    let patience = Duration::from_secs(1);
+    let waiting = |team| call(Priority(1), team, at, patience, patience);
     let (teamless, blue) = (waiting(None), waiting(Some(team(0, 1.0))));
     let mut sent = (0, 0);
     for _ in 0..100 {
--- a/crates/policy/tests/entry_gate.rs
+++ b/crates/policy/tests/entry_gate.rs
@@ -59,10 +59,10 @@
         let (ended, open): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.open).into_iter().partition(|(_, end)| *end <= now);
         self.open = open;
-        for (begun, end) in ended {
-            self.belief.finish(end, begun, CallSample::Answered);
+        for (started, end) in ended {
+            self.belief.finish(end, started, CallSample::Answered);
             self.belief.learn_pace(end, self.pace);
-            let left = self.open.iter().filter(|(begun, _)| *begun <= end).count() as u32;
+            let left = self.open.iter().filter(|(started, _)| *started <= end).count() as u32;
             self.belief.learn_load(end, left.min(SLOTS), left.saturating_sub(SLOTS));
         }
     }
@@ -78,7 +78,7 @@
 /// Counts of request outcomes in a replay.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Tally {
-    begun: usize,
+    admitted: usize,
     in_time: usize,
     refused: usize,
     /// Refused although they could have been answered in time.
@@ -125,7 +125,7 @@
             ends.push(best.call(now));
         }
         ends.sort_unstable();
-        tally.begun += 1;
+        tally.admitted += 1;
         tally.in_time += usize::from(ends[self.needed - 1] <= now.plus(self.left));
     }
 
@@ -144,7 +144,7 @@
 fn a_third_of_the_servers_slow_refuses_nothing_while_each_shard_has_others() {
     let mut model = Model::new(30, 28, ms(150), |_, copy| if copy == 0 { SLOWDOWN } else { 1.0 });
     let tally = model.replay(&mut EntryGate::default(), 400, ms(12));
-    assert_eq!((tally.refused, tally.begun), (0, 400));
+    assert_eq!((tally.refused, tally.admitted), (0, 400));
 }
 
 #[test]
@@ -181,19 +181,19 @@
 fn a_silent_server_counts_while_it_is_avoided_and_is_tried_again_afterwards() {
     let mut belief = ReplicaState::new(SLOTS, Moment::default());
     let mut now = Moment::default().plus(ms(1_000));
-    let mut told = Vec::new();
+    let mut observed = Vec::new();
     for _ in 0..4 {
         belief.start(now);
-        let begun = now;
+        let started = now;
         now = now.plus(ms(60));
-        belief.note_overdue(now, begun);
-        belief.finish(now, begun, CallSample::Abandoned);
+        belief.note_overdue(now, started);
+        belief.finish(now, started, CallSample::Abandoned);
         let outlook = belief.outlook(now, WORK, SLOW_PERIOD);
-        told.push(format!("{:?} reports {}", outlook.finish, outlook.evidence));
+        observed.push(format!("{:?} reports {}", outlook.finish, outlook.evidence));
         now = now.plus(outlook.finish);
         assert_eq!(belief.outlook(now, WORK, SLOW_PERIOD), ServerOutlook::UNKNOWN);
     }
-    insta::assert_snapshot!(told.join("\n"));
+    insta::assert_snapshot!(observed.join("\n"));
 }
 
 #[test]
@@ -278,6 +278,6 @@
         let needed = needed % 12 + 1;
         let mut model = Model::new(12, needed, ms(20 + u64::from(left)), pace);
         let tally = model.replay(&mut EntryGate::default(), 60, ms(1 + u64::from(every)));
-        TestResult::from_bool(tally.wrongly == 0 && tally.begun > 0)
+        TestResult::from_bool(tally.wrongly == 0 && tally.admitted > 0)
     }
 }
