--- a/crates/policy/src/domain_credit.rs
+++ b/crates/policy/src/domain_credit.rs
@@ -222,7 +222,8 @@
     /// The number of requests to ask the pool for: those that reservations are about to need, or the expected demand.
     pub(crate) fn wanted(&self, now: Moment) -> u32 {
         let reserved = self.reservations.count_due(now, GRANT_LIFE);
-        let expected_demand = if reserved > 0 { reserved + 1 - self.available().min(reserved) } else { self.expected_demand() };
+        let expected_demand =
+            if reserved > 0 { reserved + 1 - self.available().min(reserved) } else { self.expected_demand() };
         u32::try_from(expected_demand).unwrap_or(u32::MAX).max(1)
     }
 
@@ -245,7 +246,12 @@
 
     /// Offers the next reservation to a refused caller. `own_rate` is the credit that the failure domain earns per
     /// second.
-    pub(crate) fn offer_reservation(&mut self, now: Moment, own_rate: f64, request: &ReservationRequest) -> ReservationOffer {
+    pub(crate) fn offer_reservation(
+        &mut self,
+        now: Moment,
+        own_rate: f64,
+        request: &ReservationRequest,
+    ) -> ReservationOffer {
         // A due reservation of this caller could not be served; the caller gets another one.
         self.reservations.miss_due(now, request.content);
         let pool_rate = self.pool_rate(now);
--- a/crates/policy/src/priority_level.rs
+++ b/crates/policy/src/priority_level.rs
@@ -117,7 +117,8 @@
     /// Whether waits of a priority have been long for [`CLOSE_AFTER`] while a less urgent one is admitted.
     fn is_overloaded(&self, now: Moment, priority: Priority) -> bool {
         let period = self.long_periods.get(&priority).copied().flatten();
-        let is_lasting = period.is_some_and(|period| now.since(period.since) >= CLOSE_AFTER && period.requests >= MIN_REQUESTS);
+        let is_lasting =
+            period.is_some_and(|period| now.since(period.since) >= CLOSE_AFTER && period.requests >= MIN_REQUESTS);
         let lowest = self.lowest_open().or_else(|| self.long_periods.keys().next_back().copied());
         is_lasting && lowest.is_some_and(|lowest| lowest > priority)
     }
@@ -152,7 +153,8 @@
 /// Extends a period of long waits by one request. The period starts again if no request saw it for [`CLOSE_AFTER`], or
 /// if waits have fallen to [`RELIEF_SHARE`] of its first wait.
 fn extend(period: Option<LongPeriod>, now: Moment, wait: Duration, target: Duration) -> LongPeriod {
-    let is_lasting = |period: &LongPeriod| now.since(period.last) < CLOSE_AFTER && wait > period.wait.mul_f64(RELIEF_SHARE);
+    let is_lasting =
+        |period: &LongPeriod| now.since(period.last) < CLOSE_AFTER && wait > period.wait.mul_f64(RELIEF_SHARE);
     let current = period.filter(is_lasting).unwrap_or(LongPeriod { since: now, last: now, requests: 0, wait, target });
     LongPeriod { last: now, requests: current.requests + 1, target: current.target.min(target), ..current }
 }
--- a/crates/policy/tests/budget_share.rs
+++ b/crates/policy/tests/budget_share.rs
@@ -43,7 +43,8 @@
 fn owners_near_a_shard_can_spend_most_of_its_allowance() {
     for fleet in FLEETS {
         let parts = parts(ALLOWANCE, "shard-7", &fleet, 3, true);
-        let whole_calls: f64 = parts.iter().filter(|part| part.is_owner && part.is_near).map(|part| part.calls.floor()).sum();
+        let whole_calls: f64 =
+            parts.iter().filter(|part| part.is_owner && part.is_near).map(|part| part.calls.floor()).sum();
         assert!(whole_calls >= ALLOWANCE * 0.6, "{whole_calls} whole calls of {ALLOWANCE}");
     }
 }
--- a/crates/policy/tests/call_order.rs
+++ b/crates/policy/tests/call_order.rs
@@ -22,7 +22,13 @@
     TeamShare { team: format!("team-{number}").parse().ok(), rate: Some(rate) }
 }
 
-fn call(priority: Priority, team: Option<TeamShare>, joined: Moment, target: Duration, patience: Duration) -> WaitingCall {
+fn call(
+    priority: Priority,
+    team: Option<TeamShare>,
+    joined: Moment,
+    target: Duration,
+    patience: Duration,
+) -> WaitingCall {
     WaitingCall { priority, team, joined, latest_start: joined.plus(target), expires: joined.plus(patience) }
 }
 
@@ -39,7 +45,12 @@
 }
 
 /// Sends calls in the order of a policy; each of `slots` slots is busy with a call for `service_time`.
-fn replay(mut order: impl CallOrder, mut calls: Vec<WaitingCall>, slots: usize, service_time: Duration) -> Vec<SentCall> {
+fn replay(
+    mut order: impl CallOrder,
+    mut calls: Vec<WaitingCall>,
+    slots: usize,
+    service_time: Duration,
+) -> Vec<SentCall> {
     calls.sort_by_key(|call| call.joined);
     let mut arrivals = calls.into_iter().peekable();
     let mut free_at = vec![Moment(0); slots];
@@ -85,7 +96,10 @@
     assert_eq!((arrival.len(), ordered.len()), (120, 120), "all are sent");
     assert!(longest_wait(&arrival, URGENT) > Duration::from_millis(800), "earlier arrivals go first");
     let wait = longest_wait(&ordered, URGENT);
-    assert!(wait <= Duration::from_millis(40), "the running calls, and one of the least urgent for its minimum share: {wait:?}");
+    assert!(
+        wait <= Duration::from_millis(40),
+        "the running calls, and one of the least urgent for its minimum share: {wait:?}"
+    );
     let last = |sent: &[SentCall]| sent.iter().map(|sent| sent.sent).max();
     assert_eq!(last(&arrival), last(&ordered), "no slot is idle");
 }
@@ -164,7 +178,8 @@
 /// The mean share over the worst-served tenth of the teams, without the overloading one.
 fn worst_served_tenth(served: &BTreeMap<TeamName, f64>) -> f64 {
     let overloading: TeamName = "team-3".parse().expect("a name");
-    let mut shares: Vec<f64> = served.iter().filter(|(team, _)| **team != overloading).map(|(_, share)| *share).collect();
+    let mut shares: Vec<f64> =
+        served.iter().filter(|(team, _)| **team != overloading).map(|(_, share)| *share).collect();
     shares.sort_by(f64::total_cmp);
     let worst = &shares[..shares.len() / 10];
     worst.iter().sum::<f64>() / worst.len() as f64
--- a/crates/policy/tests/credit_failover.rs
+++ b/crates/policy/tests/credit_failover.rs
@@ -165,7 +165,9 @@
     }
 
     fn grant_from_pool(&mut self, now: Moment, domain_granter: usize, wanted: u32) -> Option<PoolGrant> {
-        if now.since(self.granters[domain_granter].started) < DISCOVERY_TIME && self.granters[domain_granter].started > Moment::default() {
+        if now.since(self.granters[domain_granter].started) < DISCOVERY_TIME
+            && self.granters[domain_granter].started > Moment::default()
+        {
             return None;
         }
         let (names, allowance, limit) = (self.names(), self.allowance(), self.limit);
--- a/crates/policy/tests/entry_gate.rs
+++ b/crates/policy/tests/entry_gate.rs
@@ -217,9 +217,12 @@
 
 #[test]
 fn the_reported_wait_is_the_time_after_which_the_target_can_be_met() {
-    let request = EntryRequest { priority: Priority(0), target: TARGET, left: ms(500), expected: Some(ms(900)), waited: ms(0) };
+    let request =
+        EntryRequest { priority: Priority(0), target: TARGET, left: ms(500), expected: Some(ms(900)), waited: ms(0) };
     let now = Moment::default().plus(ms(1_000));
-    let EntryDecision::CannotFinish { wait } = EntryGate::default().decide(now, &request) else { panic!("not refused") };
+    let EntryDecision::CannotFinish { wait } = EntryGate::default().decide(now, &request) else {
+        panic!("not refused")
+    };
     let later = EntryRequest { expected: Some(ms(900) - wait), ..request };
     assert_eq!((wait, EntryGate::default().decide(now, &later)), (ms(800), EntryDecision::Admit));
     assert_eq!(AdmitAll.decide(now, &request), EntryDecision::Admit);
@@ -270,7 +273,7 @@
     }
 
     /// If servers report the truth, a refused request could not have been answered within its deadline.
-    fn refused_requests_could_not_have_been_answered_in_time(paces: Vec<u8>, needed: usize, left: u8, every: u8) -> TestResult {
+    fn refused_requests_could_not_be_answered_in_time(paces: Vec<u8>, needed: usize, left: u8, every: u8) -> TestResult {
         if paces.is_empty() {
             return TestResult::discard();
         }
--- a/crates/policy/tests/priority_level.rs
+++ b/crates/policy/tests/priority_level.rs
@@ -29,7 +29,8 @@
 
     fn request(&mut self, priority: u32, waited: Duration) -> EntryDecision {
         let before = self.gate.level().closed();
-        let request = EntryRequest { priority: Priority(priority), target: TARGET, left: ms(1_000), expected: None, waited };
+        let request =
+            EntryRequest { priority: Priority(priority), target: TARGET, left: ms(1_000), expected: None, waited };
         let decision = self.gate.decide(self.now, &request);
         let after = self.gate.level().closed();
         if after != before {
--- a/crates/policy/tests/reservation_table.rs
+++ b/crates/policy/tests/reservation_table.rs
@@ -81,7 +81,13 @@
         });
         let answered_at = asked.plus(PATH_DELAY);
         granter.note_grant(answered_at, team, grant);
-        let answer = granter.take_reserved(answered_at, team, limit, allowance, &ReservationRequest { is_pool_asked: true, ..request });
+        let answer = granter.take_reserved(
+            answered_at,
+            team,
+            limit,
+            allowance,
+            &ReservationRequest { is_pool_asked: true, ..request },
+        );
         (answered_at, answer)
     }
 }
@@ -95,7 +101,11 @@
 
 impl Caller {
     fn request(self) -> ReservationRequest {
-        ReservationRequest { content: ContentId::of(&[&self.number.to_le_bytes()]), max_wait: self.max_wait, is_pool_asked: false }
+        ReservationRequest {
+            content: ContentId::of(&[&self.number.to_le_bytes()]),
+            max_wait: self.max_wait,
+            is_pool_asked: false,
+        }
     }
 }
 
@@ -117,7 +127,10 @@
     }
 
     fn caller(&self) -> Caller {
-        Caller { number: self.number, max_wait: usable_wait(self.gives_up.since(self.at), self.gives_up.since(self.at)) }
+        Caller {
+            number: self.number,
+            max_wait: usable_wait(self.gives_up.since(self.at), self.gives_up.since(self.at)),
+        }
     }
 }
 
@@ -218,7 +231,10 @@
     // The allowed rate is also used.
     let allowed = (limit.rate + limit.burst / WINDOW.as_secs_f64()) * 20.0 * 10.0;
     assert!(ran as f64 > allowed * 0.9, "{ran} of {allowed}");
-    assert!(refused_at_reservation * 10 < served_at_reservation, "{refused_at_reservation} refused and {served_at_reservation} served at their reservations");
+    assert!(
+        refused_at_reservation * 10 < served_at_reservation,
+        "{refused_at_reservation} refused and {served_at_reservation} served at their reservations"
+    );
 }
 
 #[test]
@@ -285,7 +301,7 @@
     assert!(take(300, 501), "late");
     assert!(!take(300, 501), "once");
     assert!(take(300, 500), "an earlier reservation used later");
-    table.release(now.plus(Duration::from_secs(1)));
+    table.release_expired(now.plus(Duration::from_secs(1)));
     assert_eq!(table.count_due(now, Duration::from_secs(60)), 0);
     insta::assert_snapshot!(format!("{:?}", table.take_counts()));
 }
@@ -298,8 +314,8 @@
     for round in 0..600 {
         now = now.plus(Duration::from_millis(50));
         for domain in 0..domains {
-            let is_granted =
-                granters.request(now, domain, Caller { number: 0, max_wait: Duration::ZERO }).1 == CreditAnswer::Granted;
+            let is_granted = granters.request(now, domain, Caller { number: 0, max_wait: Duration::ZERO }).1
+                == CreditAnswer::Granted;
             match is_granted {
                 true if round < 400 => granters.domains[domain].give_back(&granters.team),
                 true => ran.push(now),
--- a/crates/policy/tests/wait_tracker.rs
+++ b/crates/policy/tests/wait_tracker.rs
@@ -51,8 +51,8 @@
 #[test]
 fn the_median_of_failure_domains_counts_and_other_priorities_do_not_wait() {
     let mut tracker = WaitTracker::default();
-    for (domain_number, wait) in [300, 350, 5_000, 0, 320].into_iter().enumerate() {
-        tracker.note(at(0), &domain(domain_number), &node(domain_number), [(PRIORITY, ms(wait))]);
+    for (zone, wait) in [300, 350, 5_000, 0, 320].into_iter().enumerate() {
+        tracker.note(at(0), &domain(zone), &node(zone), [(PRIORITY, ms(wait))]);
     }
     assert_eq!(tracker.wait(at(0), PRIORITY).wait, ms(320));
     assert_eq!(tracker.wait(at(0), Priority(0)).wait, ms(0));
@@ -62,14 +62,14 @@
 quickcheck! {
     /// Whatever one node reports, alone in its failure domain or with others, the resulting wait never exceeds the
     /// longest wait that another node reports.
-    fn one_wrong_report_never_causes_a_wait(others: Vec<(u8, u16)>, domain_number: u8, wrong: u16) -> TestResult {
+    fn one_wrong_report_never_causes_a_wait(others: Vec<(u8, u16)>, zone: u8, wrong: u16) -> TestResult {
         let Some(longest) = others.iter().map(|(_, wait)| *wait).max() else { return TestResult::discard() };
         let mut tracker = WaitTracker::default();
-        for (number, (domain_number, wait)) in others.iter().enumerate() {
-            tracker.note(at(0), &domain(usize::from(*domain_number % 4)), &node(number), [(PRIORITY, ms(u64::from(*wait)))]);
+        for (number, (zone, wait)) in others.iter().enumerate() {
+            tracker.note(at(0), &domain(usize::from(*zone % 4)), &node(number), [(PRIORITY, ms(u64::from(*wait)))]);
         }
         let wrong = [(PRIORITY, ms(u64::from(wrong)))];
-        tracker.note(at(0), &domain(usize::from(domain_number % 4)), &node(others.len()), wrong);
+        tracker.note(at(0), &domain(usize::from(zone % 4)), &node(others.len()), wrong);
         TestResult::from_bool(tracker.wait(at(0), PRIORITY).wait <= ms(u64::from(longest)))
     }
 }
