--- a/crates/policy/src/fold_rule.rs
+++ b/crates/policy/src/fold_rule.rs
@@ -22,7 +22,7 @@
     Answer,
     /// Wait for more replies, at most until this time after the arrival.
     Wait(Duration),
-    /// The minimum coverage can no longer be reached.
+    /// The minimum coverage can no longer be reached in time.
     GiveUp,
 }
 
--- a/crates/policy/src/late_timer.rs
+++ b/crates/policy/src/late_timer.rs
@@ -27,7 +27,7 @@
     }
 
     /// Whether a timer that was set for `set_for` is acted on now. If it fired far too late, the node was paused, and
-    /// the timer is postponed once by [`READ_FIRST`].
+    /// the timer is postponed once by `READ_FIRST`.
     pub fn is_due(&mut self, now: Moment, set_for: Moment) -> bool {
         if self.read_until.take().is_some() || now.since(set_for) < MAX_LATENESS {
             return true;
