--- a/crates/policy/tests/entry_gate.rs
+++ b/crates/policy/tests/entry_gate.rs
@@ -101,7 +101,10 @@
 
     fn expected(&self, now: Moment) -> Option<Duration> {
         let outlook = |shard: &Vec<ModelServer>| {
-            ShardEstimate::of(shard.iter().map(|server| server.belief.estimate_finish(now, WORK, SLOW_PERIOD)), self.left)
+            ShardEstimate::of(
+                shard.iter().map(|server| server.belief.estimate_finish(now, WORK, SLOW_PERIOD)),
+                self.left,
+            )
         };
         estimate_answers(&self.shards.iter().map(outlook).collect::<Vec<_>>(), self.needed)
     }
