--- a/crates/policy/tests/entry_gate.rs
+++ b/crates/policy/tests/entry_gate.rs
@@ -6,8 +6,8 @@
 use streamfold_model::Priority;
 use streamfold_policy::Moment;
 use streamfold_policy::entry_gate::{EntryAsk, EntryGate, EntryRule, EntryStep, OpenGate};
-use streamfold_policy::replica::{CallSample, ReplicaState};
 use streamfold_policy::finish_estimate::{FinishEstimator, ServerEstimate, ShardEstimate, estimate_answers};
+use streamfold_policy::replica::{CallSample, ReplicaState};
 
 /// What a call takes at a server of the usual pace.
 const WORK: Duration = Duration::from_millis(20);
@@ -235,7 +235,8 @@
 }
 
 fn is_hopeless(servers: &[Vec<ServerEstimate>], needed: usize, left: Duration) -> bool {
-    let shards: Vec<ShardEstimate> = servers.iter().map(|shard| ShardEstimate::of(shard.iter().copied(), left)).collect();
+    let shards: Vec<ShardEstimate> =
+        servers.iter().map(|shard| ShardEstimate::of(shard.iter().copied(), left)).collect();
     estimate_answers(&shards, needed).is_some_and(|expected| expected > left)
 }
 
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -8,10 +8,10 @@
 use streamfold_model::{FailureDomain, HomeRegions, ServerEntry, ServerId, ServerRun, ServerStart, ServiceName};
 use streamfold_policy::cold_limit::ColdCalls;
 use streamfold_policy::crash_book::CrashSuspect;
+use streamfold_policy::finish_estimate::{FinishEstimator, ServerEstimate};
 use streamfold_policy::recent_work::RecentWork;
 use streamfold_policy::replica::{CallSample, Distance, ReplicaState};
-use streamfold_policy::finish_estimate::{FinishEstimator, ServerEstimate};
-use streamfold_policy::server_exclusion::{ServerExclusion, ServerConditions, find_exclusion};
+use streamfold_policy::server_exclusion::{ServerConditions, ServerExclusion, find_exclusion};
 use streamfold_policy::{MechanismSet, Moment};
 
 use crate::clock::NodeClock;
--- a/crates/router/src/spell_book.rs
+++ b/crates/router/src/spell_book.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-use streamfold_policy::reported_pace::{SlowPeriodStats, SlowPeriodSample};
+use streamfold_policy::reported_pace::{SlowPeriodSample, SlowPeriodStats};
 
 /// The slow spells seen so far. Every cost of a server reads their mean, so it is kept apart from the lock.
 pub struct SpellBook {
