--- a/crates/policy/src/pace_estimate.rs
+++ b/crates/policy/src/pace_estimate.rs
@@ -1,219 +1,228 @@
-//! How fast a server works, learnt from how long its calls take.
+//! Estimates the pace of a server, which is the ratio of its call durations to the usual ones, from measured durations.
 //!
-//! The load pattern: some servers of a service are always a little faster than others; one is two or three times as slow
-//! for half a second because of a neighbour on its machine; a third of them is ten times as slow for many seconds; and
-//! each of them now and then stands still for a quarter of a second. The first takes many answers to be seen and lasts,
-//! the second and third must be seen by a few answers, and the last must not be taken for them.
+//! The load pattern: some servers of a service are always a little faster than others. One is two or three times as
+//! slow for half a second because of a neighbour on its machine. A third of them are ten times as slow for many
+//! seconds. Each pauses now and then for a quarter of a second. Lasting differences take many answers to detect, slow
+//! periods must be detected by a few answers, and a pause must not count as a slow period.
 
 use std::time::Duration;
 
 use crate::moment::Moment;
 use crate::reported_pace::SlowPeriodSample;
 
-/// A call that takes so many times as long as it should is far slower than the spread of work explains.
+/// A call that takes this many times as long as expected is slower than the variance of the work explains.
 const FAR_SLOWER: f64 = 3.0;
-/// One sample says at most so many times slower or faster about the lasting pace.
-const STEADY_CLIP: f64 = 2.0;
-/// So many answers of a usual server are taken for granted before the first one.
-const STEADY_PRIOR: f64 = 8.0;
-/// Answers that count for the lasting pace at most, so that a lasting change of a server shows.
-const STEADY_WEIGHT: f64 = 40.0;
-/// Without answers the lasting pace is half forgotten in this time: machines get other neighbours.
-const STEADY_HALF_LIFE: Duration = Duration::from_secs(20);
-/// Share of an answer in the present pace: while it slows down, while it recovers, and where it is far slower.
+/// Factor to which a single sample of the long-term pace is clipped, in both directions.
+const LONG_TERM_CLIP: f64 = 2.0;
+/// Prior weight of the long-term pace: it starts as if this many answers of usual duration had been seen.
+const LONG_TERM_PRIOR: f64 = 8.0;
+/// Maximum weight of the long-term pace in answers, so that a lasting change of a server shows.
+const LONG_TERM_MAX_WEIGHT: f64 = 40.0;
+/// Half-life of the long-term pace without answers, since machines get other neighbours.
+const LONG_TERM_HALF_LIFE: Duration = Duration::from_secs(20);
+/// Weights of an answer in the current pace: one slower than the current pace, one faster, and one far slower than
+/// expected.
 const SLOWER_GAIN: f64 = 0.25;
 const FASTER_GAIN: f64 = 0.5;
 const FAR_SLOWER_GAIN: f64 = 0.75;
-/// The present pace counts once it differs so many times from the lasting one: less is the spread of a few answers.
-const PRESENT_MARGIN: f64 = 1.35;
-/// Slowness that only one event has shown is half forgotten in this time: twice as long as servers pause. It costs little
-/// to go round one that has paused, and a node that calls it twice a second must not forget from call to call.
+/// Factor from which a difference between current and long-term pace counts; a smaller one is the variance of a few
+/// answers.
+const CURRENT_MARGIN: f64 = 1.35;
+/// Half-life of slowness that only one event has shown: twice the length of a server pause. It costs little to avoid a
+/// server that has paused, and a node that calls it twice a second must not forget the slowness between calls.
 const PAUSE_HALF_LIFE: Duration = Duration::from_millis(500);
-/// What a call that had to wait says, against one that did not: the waiting is an estimate.
-const WAITED_SHARE: f64 = 0.5;
-/// The share of what another node has just told in the expected pace, on the logarithmic scale; the rest is what was
-/// seen here.
-const TOLD_SHARE: f64 = 0.7;
-/// Bounds on any pace.
+/// Relative weight of a call that queued, since its queueing time is only an estimate.
+const QUEUED_WEIGHT: f64 = 0.5;
+/// Share of a pace just reported by another node in the expected pace, on the logarithmic scale; the rest is what this
+/// node measured.
+const PEER_SHARE: f64 = 0.7;
+/// Bounds of any pace.
 const MIN_PACE: f64 = 0.5;
 const MAX_PACE: f64 = 64.0;
-/// Trust in a server's own word falls to this share with an answer that contradicts it, and rises by the rest with one
-/// that bears it out.
-const TRUST_KEPT: f64 = 0.7;
+/// Factor on the trust in a server's own report with each answer. An answer that confirms the report then adds the
+/// complement to 1.
+const TRUST_DECAY: f64 = 0.7;
 
-/// How long a call took, against what it should have taken.
+/// Duration of a call relative to its expected duration.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct WorkSample {
+pub struct PaceSample {
     /// When the call started.
     pub started: Moment,
-    /// How many times as long as it should have, with the waiting that was to be expected.
+    /// Duration divided by the expected duration, which includes the expected queueing.
     pub ratio: f64,
-    /// Whether it had to wait for a slot, as far as was known.
-    pub has_waited: bool,
+    /// Whether the call was expected to queue for a slot.
+    pub has_queued: bool,
 }
 
-/// What another node measured.
+/// A pace measured by another node.
 #[derive(Debug, Clone, Copy)]
-struct ToldPace {
+struct PeerPace {
     ln_pace: f64,
-    measured: Moment,
+    measured_at: Moment,
 }
 
-/// The pace of one server as calls have shown it. Paces are kept as logarithms, so that twice and half weigh alike.
+/// Estimated pace of one server. Paces are kept as logarithms, so that factors of 2 and 1/2 weigh the same.
 #[derive(Debug, Clone, Copy)]
 pub struct PaceEstimate {
-    /// The lasting pace, and how many answers it rests on.
-    steady: f64,
+    /// The long-term pace, and its weight in answers.
+    long_term: f64,
     weight: f64,
-    /// The present pace.
-    present: f64,
-    /// When the last sample came.
-    sampled: Option<Moment>,
-    /// When a call was last seen to be far slower.
-    slow_seen: Option<Moment>,
-    /// Whether two events of their own have shown that it is far slower.
+    /// The current pace.
+    current: f64,
+    /// Time of the last sample.
+    sampled_at: Option<Moment>,
+    /// Time at which a call was last found far slower than expected.
+    slow_seen_at: Option<Moment>,
+    /// Whether two separate events have shown that the server is far slower.
     is_confirmed: bool,
-    /// How far the server's own word is believed, 0 to 1.
+    /// Trust in the server's own report, 0 to 1.
     trust: f64,
-    told: Option<ToldPace>,
+    peer_pace: Option<PeerPace>,
 }
 
 impl Default for PaceEstimate {
     fn default() -> Self {
         Self {
-            steady: 0.0,
+            long_term: 0.0,
             weight: 0.0,
-            present: 0.0,
-            sampled: None,
-            slow_seen: None,
+            current: 0.0,
+            sampled_at: None,
+            slow_seen_at: None,
             is_confirmed: false,
             trust: 1.0,
-            told: None,
+            peer_pace: None,
         }
     }
 }
 
-/// What is left after a time of which each half-life halves it.
-fn fading(age: Duration, half_life: Duration) -> f64 {
+/// Exponential decay factor after a time.
+fn decay_factor(age: Duration, half_life: Duration) -> f64 {
     0.5f64.powf(age.as_secs_f64() / half_life.as_secs_f64().max(1e-3))
 }
 
 impl PaceEstimate {
-    /// Notes how long a call took that was answered; `spell` is how long servers stay slow.
-    pub fn learn(&mut self, now: Moment, sample: WorkSample, spell: Duration) {
+    /// Records an answered call; `slow_period` is the mean length of a slow period.
+    pub fn record_answer(&mut self, now: Moment, sample: PaceSample, slow_period: Duration) {
         let ratio = bounded(sample.ratio);
         if ratio >= FAR_SLOWER {
-            self.learn_slow(now, sample, spell);
+            self.record_slow_call(now, sample, slow_period);
             return;
         }
-        self.fade(now, spell);
-        let share = if sample.has_waited { WAITED_SHARE } else { 1.0 };
+        self.decay(now, slow_period);
+        let share = if sample.has_queued { QUEUED_WEIGHT } else { 1.0 };
         let ln_ratio = ratio.ln();
-        let gain = if ln_ratio < self.present { FASTER_GAIN } else { SLOWER_GAIN };
-        self.present += share * gain * (ln_ratio - self.present);
-        self.learn_steady(ln_ratio, share);
-        self.is_confirmed &= self.present >= PRESENT_MARGIN.ln();
+        let gain = if ln_ratio < self.current { FASTER_GAIN } else { SLOWER_GAIN };
+        self.current += share * gain * (ln_ratio - self.current);
+        self.update_long_term(ln_ratio, share);
+        self.is_confirmed &= self.current >= CURRENT_MARGIN.ln();
     }
 
-    /// Notes that a call took so long at least: it is still open, or was given up. Calls that were open together show
-    /// one event, be it a pause: only a call that started after the last event was seen shows another. None of it
-    /// tells of the lasting pace.
-    pub fn learn_slow(&mut self, now: Moment, sample: WorkSample, spell: Duration) {
+    /// Records a call that took at least this long: an answered slow call, or one that was given up. Calls that were
+    /// open at the same time show the same event, which may be a pause; only a call that started after the last event
+    /// was recorded shows another. These calls do not affect the long-term pace.
+    pub fn record_slow_call(&mut self, now: Moment, sample: PaceSample, slow_period: Duration) {
         let ratio = bounded(sample.ratio);
         if ratio < FAR_SLOWER {
             return;
         }
-        let is_same_event = self.slow_seen.is_some_and(|seen| sample.started < seen);
+        let is_same_event = self.slow_seen_at.is_some_and(|seen_at| sample.started < seen_at);
         if is_same_event {
             return;
         }
-        let has_shown_before = self.slow_seen.is_some_and(|seen| now.since(seen) < spell.max(PAUSE_HALF_LIFE * 2));
-        self.fade(now, spell);
-        let share = if sample.has_waited { WAITED_SHARE } else { 1.0 };
+        let has_recent_event =
+            self.slow_seen_at.is_some_and(|seen_at| now.since(seen_at) < slow_period.max(PAUSE_HALF_LIFE * 2));
+        self.decay(now, slow_period);
+        let share = if sample.has_queued { QUEUED_WEIGHT } else { 1.0 };
         let gain = FAR_SLOWER_GAIN * share;
-        self.present += gain * (ratio.ln() - self.present).max(0.0);
-        self.is_confirmed = has_shown_before;
-        self.slow_seen = Some(now);
+        self.current += gain * (ratio.ln() - self.current).max(0.0);
+        self.is_confirmed = has_recent_event;
+        self.slow_seen_at = Some(now);
     }
 
-    fn learn_steady(&mut self, ln_ratio: f64, share: f64) {
-        let clipped = ln_ratio.clamp(-STEADY_CLIP.ln(), STEADY_CLIP.ln());
-        let weight = self.weight.min(STEADY_WEIGHT - share);
-        self.steady = (self.steady * weight + clipped * share) / (weight + share);
+    fn update_long_term(&mut self, ln_ratio: f64, share: f64) {
+        let clipped = ln_ratio.clamp(-LONG_TERM_CLIP.ln(), LONG_TERM_CLIP.ln());
+        let weight = self.weight.min(LONG_TERM_MAX_WEIGHT - share);
+        self.long_term = (self.long_term * weight + clipped * share) / (weight + share);
         self.weight = weight + share;
     }
 
-    /// Lets what was learnt fade up to a moment.
-    fn fade(&mut self, now: Moment, spell: Duration) {
-        let Some(sampled) = self.sampled.replace(now) else { return };
-        let age = now.since(sampled);
-        self.weight *= fading(age, STEADY_HALF_LIFE);
-        let lasting = self.lasting();
-        self.present = lasting + (self.present - lasting) * fading(age, self.half_life(spell));
+    /// Decays the estimate up to `now`.
+    fn decay(&mut self, now: Moment, slow_period: Duration) {
+        let Some(sampled_at) = self.sampled_at.replace(now) else { return };
+        let age = now.since(sampled_at);
+        self.weight *= decay_factor(age, LONG_TERM_HALF_LIFE);
+        let long_term_estimate = self.long_term_estimate();
+        self.current =
+            long_term_estimate + (self.current - long_term_estimate) * decay_factor(age, self.half_life(slow_period));
     }
 
-    fn half_life(&self, spell: Duration) -> Duration {
-        if self.is_confirmed { spell.max(PAUSE_HALF_LIFE) } else { PAUSE_HALF_LIFE }
+    fn half_life(&self, slow_period: Duration) -> Duration {
+        if self.is_confirmed { slow_period.max(PAUSE_HALF_LIFE) } else { PAUSE_HALF_LIFE }
     }
 
-    /// The lasting pace as far as it is believed.
-    fn lasting(&self) -> f64 {
-        self.steady * self.weight / (self.weight + STEADY_PRIOR)
+    /// The long-term pace, weighed against the prior.
+    fn long_term_estimate(&self) -> f64 {
+        self.long_term * self.weight / (self.weight + LONG_TERM_PRIOR)
     }
 
-    /// Notes what another node measured some time ago. Of two words the newer one counts.
-    pub fn learn_told(&mut self, now: Moment, pace: f64, age: Duration) {
-        let measured = now.minus(age);
-        if self.told.is_none_or(|told| told.measured <= measured) {
-            self.told = Some(ToldPace { ln_pace: bounded(pace).ln(), measured });
+    /// Records a pace that another node measured `age` ago. The newest measurement replaces older ones.
+    pub fn record_peer_pace(&mut self, now: Moment, pace: f64, age: Duration) {
+        let measured_at = now.minus(age);
+        if self.peer_pace.is_none_or(|known| known.measured_at <= measured_at) {
+            self.peer_pace = Some(PeerPace { ln_pace: bounded(pace).ln(), measured_at });
         }
     }
 
-    /// Weighs the server's own word against how long its call took.
-    pub fn weigh_word(&mut self, word: f64, ratio: f64) {
-        if word < FAR_SLOWER.sqrt() {
+    /// Updates the trust in the server's own report by the duration ratio of a call.
+    pub fn update_trust(&mut self, reported: f64, ratio: f64) {
+        if reported < FAR_SLOWER.sqrt() {
             return;
         }
-        let is_borne_out = ratio >= word.sqrt();
-        self.trust = self.trust * TRUST_KEPT + if is_borne_out { 1.0 - TRUST_KEPT } else { 0.0 };
+        let is_supported = ratio >= reported.sqrt();
+        self.trust = self.trust * TRUST_DECAY + if is_supported { 1.0 - TRUST_DECAY } else { 0.0 };
     }
 
-    /// What the server's own word counts for.
-    pub fn believe_word(&self, word: f64) -> f64 {
-        1.0 + (word - 1.0) * self.trust
+    /// The pace that the server reports, reduced towards 1 by lack of trust.
+    pub fn apply_trust(&self, reported: f64) -> f64 {
+        1.0 + (reported - 1.0) * self.trust
     }
 
-    /// What calls of this node have shown: how many times as long as usual its work takes.
-    pub fn seen(&self, now: Moment, spell: Duration) -> f64 {
-        self.ln_seen(now, spell).exp()
+    /// The pace measured by calls of this node.
+    pub fn measured(&self, now: Moment, slow_period: Duration) -> f64 {
+        self.ln_measured(now, slow_period).exp()
     }
 
-    fn ln_seen(&self, now: Moment, spell: Duration) -> f64 {
-        let mut faded = *self;
-        faded.fade(now, spell);
-        let lasting = faded.lasting();
-        if (faded.present - lasting).abs() < PRESENT_MARGIN.ln() { lasting } else { faded.present }
+    fn ln_measured(&self, now: Moment, slow_period: Duration) -> f64 {
+        let mut decayed = *self;
+        decayed.decay(now, slow_period);
+        let long_term_estimate = decayed.long_term_estimate();
+        if (decayed.current - long_term_estimate).abs() < CURRENT_MARGIN.ln() {
+            long_term_estimate
+        } else {
+            decayed.current
+        }
     }
 
-    /// How many times as long as usual its work is expected to take, by what was seen here and what others told.
-    pub fn stretch(&self, now: Moment, spell: Duration) -> f64 {
-        let seen = self.ln_seen(now, spell);
-        // What was seen here later than that is better known.
-        let told = self.told.filter(|told| self.sampled.is_none_or(|sampled| sampled < told.measured));
-        let Some(told) = told else { return bounded(seen.exp()) };
-        let share = TOLD_SHARE * fading(now.since(told.measured), spell);
-        bounded((seen + share * (told.ln_pace - seen)).exp())
+    /// The expected pace, by this node's measurements and the report of another node.
+    pub fn slowdown(&self, now: Moment, slow_period: Duration) -> f64 {
+        let ln_measured = self.ln_measured(now, slow_period);
+        // A later measurement of this node takes precedence over the report.
+        let peer_pace =
+            self.peer_pace.filter(|peer| self.sampled_at.is_none_or(|sampled_at| sampled_at < peer.measured_at));
+        let Some(peer_pace) = peer_pace else { return bounded(ln_measured.exp()) };
+        let share = PEER_SHARE * decay_factor(now.since(peer_pace.measured_at), slow_period);
+        bounded((ln_measured + share * (peer_pace.ln_pace - ln_measured)).exp())
     }
 
-    /// How a spell of slowness went on that is known of, where a call shows such a ratio now.
-    pub fn follow_spell(&self, now: Moment, ratio: f64) -> Option<SlowPeriodSample> {
-        let since = self.sampled.filter(|_| self.is_confirmed)?;
+    /// A sample of the confirmed slow period that the server is in, by the duration ratio of a call that ends now.
+    pub fn slow_period_sample(&self, now: Moment, ratio: f64) -> Option<SlowPeriodSample> {
+        let since = self.sampled_at.filter(|_| self.is_confirmed)?;
         Some(SlowPeriodSample { span: now.since(since), is_slow: ratio >= FAR_SLOWER })
     }
 
-    /// When a call last showed something.
-    pub fn sampled(&self) -> Option<Moment> {
-        self.sampled
+    /// Time of the last sample.
+    pub fn sampled_at(&self) -> Option<Moment> {
+        self.sampled_at
     }
 }
 
--- a/crates/policy/src/replica.rs
+++ b/crates/policy/src/replica.rs
@@ -1,44 +1,44 @@
-//! What a node believes of one server, and which server of several a request goes to.
+//! A node's state for one server, and the cost by which it chooses a server for a call.
 
 use std::time::Duration;
 
+use crate::finish_estimate::{FinishEstimator, ServerEstimate};
+use crate::inflight_limit::{PeerLoad, inflight_limit};
 use crate::mechanism::{Mechanism, MechanismSet};
 use crate::moment::Moment;
+use crate::pace_estimate::{PaceEstimate, PaceSample};
 use crate::reported_pace::{ReportedPace, SlowPeriodSample};
-use crate::finish_estimate::{FinishEstimator, ServerEstimate};
-use crate::inflight_limit::{PeerLoad, inflight_limit};
-use crate::pace_estimate::{PaceEstimate, WorkSample};
 
-/// What is remembered of refusals and failures fades by half in this time without a new call.
+/// Half-life of the remembered share of refused and failed calls while no call ends.
 const REFUSAL_HALF_LIFE: Duration = Duration::from_secs(2);
-/// How long a server that fell silent is gone round before one call tries it again. Servers
-/// pause for 150 to 250 ms; each further silence doubles the span.
+/// How long a silent server is avoided before one call probes it. Servers pause for 150 to 250 ms. Each further
+/// silence doubles the time.
 const FIRST_SILENCE: Duration = Duration::from_millis(300);
 const MAX_SILENCE: Duration = Duration::from_secs(4);
-/// How long a server that failed rests; each further failure in a row doubles it.
-const FIRST_REST: Duration = Duration::from_millis(100);
-const MAX_REST: Duration = Duration::from_secs(2);
-/// How long a server that was full is gone round.
-const FULL_REST: Duration = Duration::from_millis(50);
-/// Share of a new sample in the share of calls that a server refuses or fails: a refusal costs
-/// little time but an extra call, and comes in series; a failure is mostly one of its own; an answer
-/// says little of a server that refuses a part.
+/// Backoff after a failure; each further consecutive failure doubles it.
+const FIRST_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
+/// Backoff after a refusal by a full server.
+const FULL_BACKOFF: Duration = Duration::from_millis(50);
+/// Weights of a refusal, a failure and an answer in the moving share of refused and failed calls. A refusal costs
+/// little time but an extra call, and refusals come in series; a failure is mostly isolated; an answer says little
+/// about a server that refuses only a part of the calls.
 const FULL_GAIN: f64 = 0.3;
 const FAILURE_GAIN: f64 = 0.075;
 const ANSWER_GAIN: f64 = 0.15;
-/// What a server that refuses or fails every call costs, relative to one that answers: a call
-/// to it is lost time and then one more call.
+/// Extra cost of a server that refuses or fails every call, in typical call times: a call to it loses time and needs
+/// another call.
 const REFUSAL_COST: f64 = 16.0;
-/// A reported load counts for this long.
-const LOAD_LIFE: Duration = Duration::from_millis(500);
-/// Added to a server that is believed not to answer now; any that answers goes first.
-const AVOIDED: f64 = 1e12;
-/// Relative slowness of a server that says it is still warming up.
-const WARMUP_SLOWNESS: f64 = 1.6;
-/// A server that takes so many times as long as usual is no good one: its answers miss most targets.
-const SLOW_SERVER: f64 = 2.0;
-
-/// How far away a server is.
+/// Time for which a reported load counts.
+const LOAD_LIFETIME: Duration = Duration::from_millis(500);
+/// Cost added to a server that is not expected to answer now, so that any other server is preferred.
+const AVOIDED_COST: f64 = 1e12;
+/// Slowdown assumed for a server that reports that it is still warming up.
+const WARMUP_SLOWDOWN: f64 = 1.6;
+/// Slowdown from which a server counts as slow: its answers miss most latency targets.
+const SLOW_THRESHOLD: f64 = 2.0;
+
+/// Network distance of a server from this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
     /// In this node's failure domain.
@@ -50,8 +50,8 @@
 }
 
 impl Distance {
-    /// What a call there costs beyond the server's own time: the way there and back, and the
-    /// price of bytes that leave the domain or region expressed as time, in microseconds.
+    /// Cost of a call beyond the server's own time, in microseconds: the network round trip, and the price of bytes
+    /// that leave the domain or region expressed as time.
     pub fn cost_us(self) -> f64 {
         match self {
             Self::Domain => 0.0,
@@ -61,243 +61,251 @@
     }
 }
 
-/// How a call ended, as far as the server's state cares.
+/// Outcome of a call, as far as it matters for the server's state.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum CallSample {
-    /// It answered.
+    /// The server answered.
     Answered,
-    /// It was full.
+    /// The server refused the call because it was full.
     Full,
-    /// It failed, or could not be reached.
+    /// The call failed, or the server could not be reached.
     Failed,
-    /// The call was given up for a reason that is not the server's.
+    /// The node gave the call up for a reason other than the server.
     Abandoned,
 }
 
-/// A call of this node that runs on a server.
+/// A call of this node that is in flight at a server.
 #[derive(Debug, Clone, Copy)]
 struct OpenCall {
     started: Moment,
-    /// How long it should take, with the waiting that was to be expected; none where nobody measures.
-    usual: Option<Duration>,
-    has_waited: bool,
+    /// Expected duration including the expected queueing; `None` if the duration is not measured.
+    expected: Option<Duration>,
+    has_queued: bool,
 }
 
-/// A node's knowledge of one server.
+/// A node's state for one server.
 #[derive(Debug, Clone)]
 pub struct ReplicaState {
     slots: u32,
-    /// The calls of this node that run on it.
+    /// Calls of this node in flight, oldest first.
     calls: Vec<OpenCall>,
-    sampled: Moment,
+    sampled_at: Moment,
     warm_at: Moment,
     silences: u32,
     silent_until: Option<Moment>,
     failures: u32,
-    refusals: f64,
-    answered: Moment,
-    resting_until: Moment,
+    refusal_share: f64,
+    answered_at: Moment,
+    backoff_until: Moment,
     load: Option<(f64, Moment)>,
-    others: Option<PeerLoad>,
-    pace: ReportedPace,
-    work: PaceEstimate,
-    /// Whether its service has enough servers to choose among them by their measured pace.
-    is_compared: bool,
+    peer_load: Option<PeerLoad>,
+    reported_pace: ReportedPace,
+    pace_estimate: PaceEstimate,
+    /// Whether its service has enough servers to choose among them by measured pace.
+    is_comparable: bool,
     mechanisms: MechanismSet,
 }
 
 impl ReplicaState {
-    /// A server with so many slots that is warm from a moment on.
+    /// State of a server with `slots` request slots that has finished its warm-up at `warm_at`.
     pub fn new(slots: u32, warm_at: Moment) -> Self {
         Self {
             slots: slots.max(1),
             calls: Vec::new(),
-            sampled: Moment::default(),
+            sampled_at: Moment::default(),
             warm_at,
             silences: 0,
             silent_until: None,
             failures: 0,
-            refusals: 0.0,
-            answered: Moment::default(),
-            resting_until: Moment::default(),
+            refusal_share: 0.0,
+            answered_at: Moment::default(),
+            backoff_until: Moment::default(),
             load: None,
-            others: None,
-            pace: ReportedPace::default(),
-            work: PaceEstimate::default(),
-            is_compared: false,
+            peer_load: None,
+            reported_pace: ReportedPace::default(),
+            pace_estimate: PaceEstimate::default(),
+            is_comparable: false,
             mechanisms: MechanismSet::default(),
         }
     }
 
-    /// The same, judged by some mechanisms only.
+    /// Limits the mechanisms that affect the server's cost.
     pub fn with_mechanisms(self, mechanisms: MechanismSet) -> Self {
         Self { mechanisms, ..self }
     }
 
-    /// Calls of this node that run on it.
+    /// Number of calls of this node in flight.
     pub fn running(&self) -> u32 {
         self.calls.len() as u32
     }
 
-    /// Sets whether its service has enough servers to choose among them by their measured pace.
-    pub fn set_comparable(&mut self, is_compared: bool) {
-        self.is_compared = is_compared;
+    /// Sets whether the service has enough servers to choose among them by measured pace.
+    pub fn set_comparable(&mut self, is_comparable: bool) {
+        self.is_comparable = is_comparable;
     }
 
-    /// Whether it is judged by its measured pace.
+    /// Whether its measured pace affects its cost.
     fn is_measured(&self) -> bool {
-        self.is_compared && self.mechanisms.has(Mechanism::MeasuredPace)
+        self.is_comparable && self.mechanisms.has(Mechanism::MeasuredPace)
     }
 
-    /// How much slower it is than a typical server, which is 1, by its own word and by what was measured.
-    fn slowness(&self, now: Moment, spell: Duration) -> f64 {
+    /// Slowdown against a typical server, which is 1, by the server's own report and by measurement.
+    fn slowdown(&self, now: Moment, slow_period: Duration) -> f64 {
         let is_cold = now < self.warm_at && self.mechanisms.has(Mechanism::WarmUp);
-        let cold = if is_cold { WARMUP_SLOWNESS } else { 1.0 };
-        let has_word = self.mechanisms.has(Mechanism::ToldPace);
-        let word = if has_word { self.pace.stretch(now, spell) } else { 1.0 };
+        let cold = if is_cold { WARMUP_SLOWDOWN } else { 1.0 };
+        let has_report = self.mechanisms.has(Mechanism::ToldPace);
+        let reported = if has_report { self.reported_pace.slowdown(now, slow_period) } else { 1.0 };
         if !self.is_measured() {
-            return word.max(cold);
+            return reported.max(cold);
         }
-        let measured = self.work.stretch(now, spell);
-        // A word of 1 says nothing of a server that is faster than usual.
-        let word = if word > 1.0 { self.work.believe_word(word) } else { measured };
+        let measured = self.pace_estimate.slowdown(now, slow_period);
+        // A report of 1 carries no information about a server that is faster than usual.
+        let reported = if reported > 1.0 { self.pace_estimate.apply_trust(reported) } else { measured };
         let cold = if is_cold { cold } else { measured };
-        measured.max(word).max(cold)
+        measured.max(reported).max(cold)
     }
 
-    /// The pace that calls of this node have shown, and when, where it is judged by that.
-    pub fn measured_pace(&self, now: Moment, spell: Duration) -> Option<(f64, Moment)> {
-        let sampled = self.work.sampled().filter(|_| self.is_measured())?;
-        Some((self.work.seen(now, spell), sampled))
+    /// The pace measured by calls of this node and the time of the last sample; `None` unless it affects the cost.
+    pub fn measured_pace(&self, now: Moment, slow_period: Duration) -> Option<(f64, Moment)> {
+        let sampled_at = self.pace_estimate.sampled_at().filter(|_| self.is_measured())?;
+        Some((self.pace_estimate.measured(now, slow_period), sampled_at))
     }
 
-    /// Notes the pace that another node measured some time ago.
+    /// Records a pace that another node measured `age` ago.
     pub fn record_peer_pace(&mut self, now: Moment, pace: f64, age: Duration) {
         if self.is_measured() {
-            self.work.learn_told(now, pace, age);
+            self.pace_estimate.record_peer_pace(now, pace, age);
         }
     }
 
-    /// Whether a call there is expected to take much longer than usual, or no answer is expected at all.
-    pub fn is_slow(&self, now: Moment, spell: Duration) -> bool {
-        self.is_avoided(now) || self.slowness(now, spell) >= SLOW_SERVER
+    /// Whether a call is expected to take much longer than usual, or to get no answer at all.
+    pub fn is_slow(&self, now: Moment, slow_period: Duration) -> bool {
+        self.is_avoided(now) || self.slowdown(now, slow_period) >= SLOW_THRESHOLD
     }
 
-    /// Notes how many times as long as usual work takes there by its own word; what became of its slow
-    /// spell, if it was in one.
+    /// Records the pace that the server reports: its service time relative to the usual one. Returns a sample of the
+    /// slow period that the server was in, if any.
     pub fn record_reported_pace(&mut self, now: Moment, pace: f64) -> Option<SlowPeriodSample> {
-        self.pace.learn(now, pace)
+        self.reported_pace.record(now, pace)
     }
 
-    /// Notes that it stays cold for a time from now on; a warm server may go cold again.
+    /// Records that the server is cold for another `left`. A warm server may go cold again.
     pub fn record_warmup(&mut self, now: Moment, left: Duration) {
         if !left.is_zero() {
             self.warm_at = now.plus(left);
         }
     }
 
-    /// How much longer it is slow from its start.
+    /// Remaining warm-up time.
     pub fn warmup_left(&self, now: Moment) -> Duration {
         self.warm_at.since(now)
     }
 
-    /// What is left of a belief since the last call told something, 0 to 1.
-    fn fading(&self, now: Moment) -> f64 {
-        let age = now.since(self.sampled).as_secs_f64() / REFUSAL_HALF_LIFE.as_secs_f64();
+    /// Factor, 0 to 1, by which the remembered refusals have decayed since the last sample.
+    fn decay(&self, now: Moment) -> f64 {
+        let age = now.since(self.sampled_at).as_secs_f64() / REFUSAL_HALF_LIFE.as_secs_f64();
         0.5f64.powf(age)
     }
 
-    /// Whether work waits for its slots, by this node's calls or by what it told lately.
+    /// Whether requests queue for the server's slots, by this node's calls or by the server's recent load report.
     pub fn is_busy(&self, now: Moment) -> bool {
-        self.ahead(now) > f64::from(self.slots)
+        self.outstanding(now) > f64::from(self.slots)
     }
 
-    /// Whether this node may have one more call out there, where calls wait at the node.
+    /// Whether the in-flight limit allows this node another call, while further calls queue at the node.
     pub fn has_capacity(&self, now: Moment) -> bool {
-        self.running() < inflight_limit(now, self.slots, self.others)
+        self.running() < inflight_limit(now, self.slots, self.peer_load)
     }
 
-    /// Work that it runs or holds waiting.
-    fn ahead(&self, now: Moment) -> f64 {
-        let told = self.load.filter(|(_, told)| now.since(*told) < LOAD_LIFE).map_or(0.0, |(load, _)| load);
-        told.max(self.calls.len() as f64)
+    /// Number of requests that the server runs or queues.
+    fn outstanding(&self, now: Moment) -> f64 {
+        let reported =
+            self.load.filter(|(_, reported_at)| now.since(*reported_at) < LOAD_LIFETIME).map_or(0.0, |(load, _)| load);
+        reported.max(self.calls.len() as f64)
     }
 
-    /// Whether it has answered anything since a moment.
+    /// Whether the server has answered any call since `moment`.
     pub fn has_answered_since(&self, moment: Moment) -> bool {
-        self.answered > moment
+        self.answered_at > moment
     }
 
-    /// Whether it is believed not to answer now.
+    /// Whether the server is not expected to answer now, because it is silent or backed off.
     pub fn is_avoided(&self, now: Moment) -> bool {
         let is_silent = self.silent_until.is_some_and(|until| now < until);
-        let is_resting = now < self.resting_until;
+        let is_backing_off = now < self.backoff_until;
         (is_silent && self.mechanisms.has(Mechanism::SilenceRouting))
-            || (is_resting && self.mechanisms.has(Mechanism::FailureRest))
+            || (is_backing_off && self.mechanisms.has(Mechanism::FailureRest))
     }
 
-    /// What a call would cost here, in microseconds, where `typical` is the time such a call
-    /// usually takes and `spell` how long servers stay slow.
-    pub fn cost(&self, now: Moment, distance: Distance, typical: Duration, spell: Duration) -> f64 {
+    /// Cost of a call to this server, in microseconds. `typical` is the usual duration of such a call, `slow_period`
+    /// the mean length of a slow period.
+    pub fn cost(&self, now: Moment, distance: Distance, typical: Duration, slow_period: Duration) -> f64 {
         let typical = typical.as_micros() as f64;
-        let open_for = self.open_for(now).as_micros() as f64;
-        let typical = (typical * self.slowness(now, spell)).max(open_for);
-        let queued = self.queued(now);
-        // Work that runs but does not queue still tells which of two idle servers to take.
-        let busy = 0.1 * self.ahead(now) / f64::from(self.slots);
-        let avoided = if self.is_avoided(now) { AVOIDED } else { 0.0 };
-        let refused = REFUSAL_COST * self.refusals * self.fading(now);
-        avoided + typical * (1.0 + queued + busy + refused) + distance.cost_us()
-    }
-
-    /// How many times as long as its work a call made now would wait for a slot.
-    fn queued(&self, now: Moment) -> f64 {
+        let oldest_call_age = self.oldest_call_age(now).as_micros() as f64;
+        let typical = (typical * self.slowdown(now, slow_period)).max(oldest_call_age);
+        let queueing = self.queueing(now);
+        // Running requests break the tie between two servers without a queue.
+        let busy = 0.1 * self.outstanding(now) / f64::from(self.slots);
+        let avoided = if self.is_avoided(now) { AVOIDED_COST } else { 0.0 };
+        let refused = REFUSAL_COST * self.refusal_share * self.decay(now);
+        avoided + typical * (1.0 + queueing + busy + refused) + distance.cost_us()
+    }
+
+    /// Expected wait for a slot of a call made now, as a multiple of its service time.
+    fn queueing(&self, now: Moment) -> f64 {
         let slots = f64::from(self.slots);
-        (self.ahead(now) + 1.0 - slots).max(0.0) / slots
+        (self.outstanding(now) + 1.0 - slots).max(0.0) / slots
     }
 
-    /// How long the oldest call that runs on it has been open: an answer takes at least as long.
-    fn open_for(&self, now: Moment) -> Duration {
+    /// Age of the oldest call in flight: an answer takes at least that long.
+    fn oldest_call_age(&self, now: Moment) -> Duration {
         let oldest = self.calls.first().filter(|_| self.mechanisms.has(Mechanism::OpenCalls));
         oldest.map_or(Duration::ZERO, |call| now.since(call.started))
     }
 
-    /// Notes that a call starts.
+    /// Records the start of a call.
     pub fn start(&mut self, now: Moment) {
-        self.calls.push(OpenCall { started: now, usual: None, has_waited: false });
+        self.calls.push(OpenCall { started: now, expected: None, has_queued: false });
     }
 
-    /// Notes that a call starts that would usually take so long; its time is measured.
+    /// Records the start of a call whose duration is measured. `typical` is its usual duration.
     pub fn start_measured(&mut self, now: Moment, typical: Duration) {
-        let queued = self.queued(now);
-        let usual = Some(typical.mul_f64(1.0 + queued));
-        self.calls.push(OpenCall { started: now, usual, has_waited: queued > 0.0 });
+        let queueing = self.queueing(now);
+        let expected = Some(typical.mul_f64(1.0 + queueing));
+        self.calls.push(OpenCall { started: now, expected, has_queued: queueing > 0.0 });
     }
 
-    /// Learns from how long a call took that ended; what became of the slow spell that was known of.
-    fn measure(&mut self, now: Moment, call: OpenCall, sample: CallSample, spell: Duration) -> Option<SlowPeriodSample> {
-        let usual = call.usual.filter(|usual| !usual.is_zero())?;
-        let ratio = now.since(call.started).as_secs_f64() / usual.as_secs_f64();
-        let work = WorkSample { started: call.started, ratio, has_waited: call.has_waited };
+    /// Updates the pace estimate by the duration of a call that ended. Returns a sample of the slow period that the
+    /// server was in, if any.
+    fn record_duration(
+        &mut self,
+        now: Moment,
+        call: OpenCall,
+        sample: CallSample,
+        slow_period: Duration,
+    ) -> Option<SlowPeriodSample> {
+        let expected = call.expected.filter(|expected| !expected.is_zero())?;
+        let ratio = now.since(call.started).as_secs_f64() / expected.as_secs_f64();
+        let pace_sample = PaceSample { started: call.started, ratio, has_queued: call.has_queued };
         match sample {
             CallSample::Answered => {
-                let followed = self.work.follow_spell(now, ratio).filter(|_| self.is_measured());
-                self.work.weigh_word(self.pace.stretch(now, spell), ratio);
-                self.work.learn(now, work, spell);
-                followed
+                let slow_period_sample =
+                    self.pace_estimate.slow_period_sample(now, ratio).filter(|_| self.is_measured());
+                self.pace_estimate.update_trust(self.reported_pace.slowdown(now, slow_period), ratio);
+                self.pace_estimate.record_answer(now, pace_sample, slow_period);
+                slow_period_sample
             }
-            // It would have taken longer still.
+            // The call would have taken even longer.
             CallSample::Abandoned => {
-                self.work.learn_slow(now, work, spell);
+                self.pace_estimate.record_slow_call(now, pace_sample, slow_period);
                 None
             }
             CallSample::Full | CallSample::Failed => None,
         }
     }
 
-    /// Notes that a call that started at a moment has waited longer than usual. If nothing was
-    /// answered since, others go round the server until it answers something or a span has passed;
-    /// else it is only slow or has a queue.
+    /// Records that a call that began at `started` is overdue. If the server has answered nothing since, it counts as
+    /// silent and is avoided until it answers or a time has passed; otherwise it is only slow or has a queue.
     pub fn note_overdue(&mut self, now: Moment, started: Moment) {
         if self.is_avoided(now) || self.has_answered_since(started) {
             return;
@@ -307,27 +315,27 @@
         self.silent_until = Some(now.plus(span.min(MAX_SILENCE)));
     }
 
-    /// Lets what is remembered of refusals fade up to a moment.
-    fn fade(&mut self, now: Moment) {
-        self.refusals *= self.fading(now);
-        self.sampled = now;
+    /// Decays the remembered refusals up to `now`.
+    fn decay_refusals(&mut self, now: Moment) {
+        self.refusal_share *= self.decay(now);
+        self.sampled_at = now;
     }
 
-    /// Notes how a call ended that started at a moment, where `spell` is how long servers stay slow.
-    /// What became of its slow spell, if it was in one and that is known by measuring.
+    /// Records the outcome of a call that began at `started`; `slow_period` is the mean length of a slow period.
+    /// Returns a sample of the measured slow period that the server was in, if any.
     pub fn finish_measured(
         &mut self,
         now: Moment,
         started: Moment,
         sample: CallSample,
-        spell: Duration,
+        slow_period: Duration,
     ) -> Option<SlowPeriodSample> {
         let call = self.calls.iter().find(|open| open.started == started).copied();
         self.finish(now, started, sample);
-        self.measure(now, call?, sample, spell)
+        self.record_duration(now, call?, sample, slow_period)
     }
 
-    /// Notes how a call ended that started at a moment.
+    /// Records the outcome of a call that began at `started`.
     pub fn finish(&mut self, now: Moment, started: Moment, sample: CallSample) {
         if let Some(position) = self.calls.iter().position(|open| open.started == started) {
             self.calls.remove(position);
@@ -337,71 +345,70 @@
                 self.silences = 0;
                 self.silent_until = None;
                 self.failures = 0;
-                self.resting_until = Moment::default();
-                self.answered = now;
-                self.fade(now);
-                self.refusals -= ANSWER_GAIN * self.refusals;
+                self.backoff_until = Moment::default();
+                self.answered_at = now;
+                self.decay_refusals(now);
+                self.refusal_share -= ANSWER_GAIN * self.refusal_share;
             }
             CallSample::Full => {
-                self.answered = now;
-                self.note_refusal(now, FULL_GAIN);
-                self.resting_until = now.plus(FULL_REST);
+                self.answered_at = now;
+                self.record_refusal(now, FULL_GAIN);
+                self.backoff_until = now.plus(FULL_BACKOFF);
             }
             CallSample::Failed => {
-                self.note_refusal(now, FAILURE_GAIN);
-                let span = FIRST_REST * 2u32.pow(self.failures.min(5));
+                self.record_refusal(now, FAILURE_GAIN);
+                let span = FIRST_BACKOFF * 2u32.pow(self.failures.min(5));
                 self.failures += 1;
-                self.resting_until = now.plus(span.min(MAX_REST));
+                self.backoff_until = now.plus(span.min(MAX_BACKOFF));
             }
             CallSample::Abandoned => {}
         }
     }
 
-    fn note_refusal(&mut self, now: Moment, gain: f64) {
-        self.fade(now);
+    fn record_refusal(&mut self, now: Moment, gain: f64) {
+        self.decay_refusals(now);
         if self.mechanisms.has(Mechanism::RefusalMemory) {
-            self.refusals += gain * (1.0 - self.refusals);
+            self.refusal_share += gain * (1.0 - self.refusal_share);
         }
     }
 
-    /// Notes the load it told: requests it runs and holds waiting, from everybody.
+    /// Records the load that the server reports: requests of all nodes that it runs and queues.
     pub fn record_load(&mut self, now: Moment, running: u32, waiting: u32) {
         if self.mechanisms.has(Mechanism::ToldLoad) {
             let requests = running.saturating_add(waiting);
             self.load = Some((f64::from(requests), now));
-            self.others = Some(PeerLoad::learn(now, requests, self.running()));
+            self.peer_load = Some(PeerLoad::from_report(now, requests, self.running()));
         }
     }
 }
 
 impl ReplicaState {
-    /// How much longer it is gone round because it fell silent and has answered nothing since, also where the last of
-    /// its calls failed for want of an answer. Zero for a server that only refuses calls: it may take the
-    /// next one.
-    fn silent_for(&self, now: Moment) -> Duration {
+    /// Remaining time for which the server is avoided because it is silent; this includes the case that the last of its
+    /// calls failed without an answer. Zero for a server that only refuses calls, since it may accept the next one.
+    fn silence_left(&self, now: Moment) -> Duration {
         let is_silent = self.silences > 0 && self.mechanisms.has(Mechanism::SilenceRouting);
         let until = self.silent_until.filter(|_| is_silent);
-        until.map_or(Duration::ZERO, |until| until.max(self.resting_until).since(now))
+        until.map_or(Duration::ZERO, |until| until.max(self.backoff_until).since(now))
     }
 }
 
 impl FinishEstimator for ReplicaState {
-    fn estimate_finish(&self, now: Moment, typical: Duration, spell: Duration) -> ServerEstimate {
-        let work = typical.mul_f64(self.slowness(now, spell));
-        let told = self.load.filter(|(_, told)| now.since(*told) < LOAD_LIFE);
-        // What waited when it was told has been worked on since.
-        let queued = told.map_or(Duration::ZERO, |(load, told)| {
-            // Those that ran may have been about to end.
+    fn estimate_finish(&self, now: Moment, typical: Duration, slow_period: Duration) -> ServerEstimate {
+        let work = typical.mul_f64(self.slowdown(now, slow_period));
+        let reported = self.load.filter(|(_, reported_at)| now.since(*reported_at) < LOAD_LIFETIME);
+        // The server has worked on the reported queue since the report.
+        let queueing = reported.map_or(Duration::ZERO, |(load, reported_at)| {
+            // The requests that ran at that time may have been about to end.
             let rounds = ((load + 1.0) / f64::from(self.slots) - 2.0).max(0.0);
-            work.mul_f64(rounds).saturating_sub(now.since(told))
+            work.mul_f64(rounds).saturating_sub(now.since(reported_at))
         });
-        let is_slow = work > typical || !queued.is_zero();
-        let silent = self.silent_for(now);
+        let is_slow = work > typical || !queueing.is_zero();
+        let silent = self.silence_left(now);
         let silences = self.silences + self.failures;
-        // One that fell silent says nothing of its pace; what it said before may be over by the time it is back.
+        // A silent server reports no pace, and its last report may be outdated by the time it answers again.
         match silent.is_zero() {
             true if !is_slow => ServerEstimate::UNKNOWN,
-            true => ServerEstimate { finish: work + queued, observations: 1 },
+            true => ServerEstimate { finish: work + queueing, observations: 1 },
             false => ServerEstimate { finish: silent, observations: silences },
         }
     }
--- a/crates/policy/src/reported_pace.rs
+++ b/crates/policy/src/reported_pace.rs
@@ -1,80 +1,79 @@
-//! How long work takes at a server by its own word, and how long that word is believed.
+//! The pace that a server reports with its answers, and how long a report counts.
 //!
-//! The load pattern: servers share their machines with others, so that one of thirty is slow for half a
-//! second, and some of a service are slow for many seconds. A server tells it with each answer, but one
-//! that is left because it is slow tells nothing more. How long such spells last differs by deployment,
-//! so it is measured: by what servers tell next that have told a slow pace before.
+//! The load pattern: servers share their machines with others, so that one in thirty is slow for half a second, and
+//! some servers of a service are slow for many seconds. A server reports its pace with each answer, but a server that
+//! is avoided because it is slow sends no further reports. The length of slow periods differs between deployments, so
+//! it is measured by the next report of a server that has reported a slow pace.
 
 use std::time::Duration;
 
 use crate::moment::Moment;
 
-/// Work that takes so many times as long as usual counts as slow. Below it the told figure mixes with
-/// the spread of the work itself.
-const SLOW: f64 = 1.5;
-/// What is assumed before anything is seen: so many spells of a second each.
-const ASSUMED_SPELLS: f64 = 2.0;
-/// The weight of older spells against each new one: about the last five hundred count.
-const KEPT_SHARE: f64 = 0.998;
+/// Reported pace from which a server counts as slow. Below it, the figure cannot be told from the variance of the work.
+const SLOW_PACE: f64 = 1.5;
+/// Number of slow periods of one second each that are assumed before any is observed.
+const ASSUMED_PERIODS: f64 = 2.0;
+/// Decay of older samples with each new one: about the last five hundred count.
+const DECAY: f64 = 0.998;
 
-/// What a server told of its pace last.
+/// The last pace that a server reported.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ReportedPace {
-    /// How many times as long as usual work takes, and when that was told.
-    told: Option<(f64, Moment)>,
+    /// Service time relative to the usual one, and the time of the report.
+    last: Option<(f64, Moment)>,
 }
 
-/// How a spell of slowness went on between two words of a server.
+/// State of a slow period between two consecutive reports of a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowPeriodSample {
-    /// The time between them.
+    /// Time between the two reports.
     pub span: Duration,
-    /// Whether the server was still slow.
+    /// Whether the server was still slow at the second one.
     pub is_slow: bool,
 }
 
 impl ReportedPace {
-    /// Notes what the server told; what became of its slow spell, if it was in one.
-    pub fn learn(&mut self, now: Moment, pace: f64) -> Option<SlowPeriodSample> {
-        let before = self.told.replace((pace, now));
-        let (_, since) = before.filter(|(before, _)| *before >= SLOW)?;
-        Some(SlowPeriodSample { span: now.since(since), is_slow: pace >= SLOW })
+    /// Records a report. Returns a sample of the slow period that the server was in, if any.
+    pub fn record(&mut self, now: Moment, pace: f64) -> Option<SlowPeriodSample> {
+        let previous = self.last.replace((pace, now));
+        let (_, since) = previous.filter(|(previous, _)| *previous >= SLOW_PACE)?;
+        Some(SlowPeriodSample { span: now.since(since), is_slow: pace >= SLOW_PACE })
     }
 
-    /// How many times as long as usual work is expected to take, at least 1. What was told fades with its
-    /// age as spells end, where they last `spell` on average; so a slow server is looked at again sooner
-    /// the less there is to lose by it.
-    pub fn stretch(&self, now: Moment, spell: Duration) -> f64 {
-        let Some((pace, told)) = self.told else { return 1.0 };
-        let age = now.since(told).as_secs_f64() / spell.as_secs_f64().max(1e-3);
+    /// Expected service time relative to the usual one, at least 1. A report decays exponentially with its age, by the
+    /// mean length `slow_period` of a slow period. A slow server is therefore probed again sooner the less a call to it
+    /// can lose.
+    pub fn slowdown(&self, now: Moment, slow_period: Duration) -> f64 {
+        let Some((pace, reported_at)) = self.last else { return 1.0 };
+        let age = now.since(reported_at).as_secs_f64() / slow_period.as_secs_f64().max(1e-3);
         1.0 + (pace.max(1.0) - 1.0) * (-age).exp()
     }
 }
 
-/// How long slow spells last, as one node has seen it of all servers.
+/// Mean length of slow periods, observed by one node over all servers.
 #[derive(Debug, Clone, Copy)]
 pub struct SlowPeriodStats {
-    /// Spells that were seen to end.
+    /// Number of slow periods that have ended.
     ended: f64,
-    /// Seconds for which servers were seen to be slow.
+    /// Total observed time in slow periods, in seconds.
     slow_s: f64,
 }
 
 impl Default for SlowPeriodStats {
     fn default() -> Self {
-        Self { ended: ASSUMED_SPELLS, slow_s: ASSUMED_SPELLS }
+        Self { ended: ASSUMED_PERIODS, slow_s: ASSUMED_PERIODS }
     }
 }
 
 impl SlowPeriodStats {
-    /// Notes how a spell went on. One that ended between two words did so in the middle on average.
+    /// Adds a sample. A slow period that ended between two reports is taken to have ended in the middle.
     pub fn add(&mut self, sample: SlowPeriodSample) {
         let span = sample.span.as_secs_f64();
-        self.ended = self.ended * KEPT_SHARE + if sample.is_slow { 0.0 } else { 1.0 };
-        self.slow_s = self.slow_s * KEPT_SHARE + if sample.is_slow { span } else { span / 2.0 };
+        self.ended = self.ended * DECAY + if sample.is_slow { 0.0 } else { 1.0 };
+        self.slow_s = self.slow_s * DECAY + if sample.is_slow { span } else { span / 2.0 };
     }
 
-    /// How long a spell lasts on average.
+    /// Mean length of a slow period, 1 ms to 60 s.
     pub fn mean(&self) -> Duration {
         Duration::from_secs_f64((self.slow_s / self.ended.max(1e-3)).clamp(1e-3, 60.0))
     }
--- a/crates/policy/tests/inflight_limit.rs
+++ b/crates/policy/tests/inflight_limit.rs
@@ -1,4 +1,5 @@
-//! How many calls a node has out at a server: enough that no slot is idle, and few enough that it can order the rest.
+//! Checks that the in-flight limit of a node is high enough to keep the server's slots in use, and stays within its
+//! bounds.
 
 use std::time::Duration;
 
@@ -8,84 +9,85 @@
 
 const SLOTS: u32 = 2;
 const STEP_US: u64 = 500;
-/// How long a call is on its way, each way: nodes and servers of one failure domain.
-const WAY_US: u64 = 500;
+/// One-way network delay between nodes and servers of one failure domain.
+const DELAY_US: u64 = 500;
 
-/// One server and nodes that call it without hearing of each other.
-struct Replay {
+/// Simulates one server and nodes that call it without communicating with each other.
+struct Simulation {
     now: Moment,
-    /// Calls on their way, at work or coming back, by node, with the moment at which that ends.
-    coming: Vec<(u64, usize)>,
+    /// Calls on the way to the server, with the time of arrival and the node; likewise running calls and answers.
+    in_transit: Vec<(u64, usize)>,
     queued: Vec<usize>,
     running: Vec<(u64, usize)>,
     answers: Vec<(u64, usize, u32)>,
-    out: Vec<u32>,
-    told: Vec<Option<PeerLoad>>,
+    in_flight: Vec<u32>,
+    reported: Vec<Option<PeerLoad>>,
     waiting: Vec<u32>,
     idle: u64,
-    wanted: u64,
+    demanded: u64,
 }
 
-impl Replay {
+impl Simulation {
     fn new(nodes: usize) -> Self {
         Self {
             now: Moment(0),
-            coming: Vec::new(),
+            in_transit: Vec::new(),
             queued: Vec::new(),
             running: Vec::new(),
             answers: Vec::new(),
-            out: vec![0; nodes],
-            told: vec![None; nodes],
+            in_flight: vec![0; nodes],
+            reported: vec![None; nodes],
             waiting: vec![0; nodes],
             idle: 0,
-            wanted: 0,
+            demanded: 0,
         }
     }
 
     fn send(&mut self) {
         for node in 0..self.waiting.len() {
-            while self.waiting[node] > 0 && self.out[node] < inflight_limit(self.now, SLOTS, self.told[node]) {
+            while self.waiting[node] > 0 && self.in_flight[node] < inflight_limit(self.now, SLOTS, self.reported[node])
+            {
                 self.waiting[node] -= 1;
-                self.out[node] += 1;
-                self.coming.push((self.now.0 + WAY_US, node));
+                self.in_flight[node] += 1;
+                self.in_transit.push((self.now.0 + DELAY_US, node));
             }
         }
     }
 
-    fn serve(&mut self, mut took_us: impl FnMut() -> u64) {
+    fn serve(&mut self, mut service_us: impl FnMut() -> u64) {
         let now = self.now.0;
-        self.queued.extend(self.coming.extract_if(.., |(at, _)| *at <= now).map(|(_, node)| node));
+        self.queued.extend(self.in_transit.extract_if(.., |(at, _)| *at <= now).map(|(_, node)| node));
         let ended: Vec<_> = self.running.extract_if(.., |(at, _)| *at <= now).collect();
         while self.running.len() < SLOTS as usize && !self.queued.is_empty() {
             let node = self.queued.remove(0);
-            self.running.push((now + took_us(), node));
+            self.running.push((now + service_us(), node));
         }
         let load = (self.running.len() + self.queued.len()) as u32;
-        self.answers.extend(ended.into_iter().map(|(_, node)| (now + WAY_US, node, load)));
+        self.answers.extend(ended.into_iter().map(|(_, node)| (now + DELAY_US, node, load)));
     }
 
-    fn hear(&mut self) {
+    fn receive(&mut self) {
         let (now, answers) = (self.now, std::mem::take(&mut self.answers));
-        let (here, later) = answers.into_iter().partition(|(at, _, _)| *at <= now.0);
+        let (arrived, later) = answers.into_iter().partition(|(at, _, _)| *at <= now.0);
         self.answers = later;
-        for (_, node, load) in here {
-            self.told[node] = Some(PeerLoad::learn(now, load, self.out[node]));
-            self.out[node] -= 1;
+        for (_, node, load) in arrived {
+            self.reported[node] = Some(PeerLoad::from_report(now, load, self.in_flight[node]));
+            self.in_flight[node] -= 1;
         }
     }
 
-    /// Counts idle slots while a call waits that would fill them.
+    /// Counts slots that are idle although a call waits for them.
     fn count(&mut self) {
         let waiting: u32 = self.waiting.iter().sum();
         if waiting > 0 {
             let idle = (SLOTS as usize - self.running.len()).min(waiting as usize);
-            (self.idle, self.wanted) = (self.idle + idle as u64, self.wanted + u64::from(SLOTS));
+            (self.idle, self.demanded) = (self.idle + idle as u64, self.demanded + u64::from(SLOTS));
         }
     }
 }
 
-/// Numbers that look random and are the same each time (xorshift).
-fn dice(seed: u64) -> impl FnMut() -> u64 {
+/// Deterministic pseudo-random numbers (xorshift).
+fn rng(seed: u64) -> impl FnMut() -> u64 {
     let mut state = seed | 1;
     move || {
         state ^= state << 13;
@@ -95,27 +97,27 @@
     }
 }
 
-/// The share of slot time that is idle while calls wait, where nodes get calls in bursts at 1.4 times what the server
-/// can do.
+/// Share of the slot time that is idle while calls wait, when nodes get calls in bursts of 1.4 times the capacity of
+/// the server.
 fn idle_share(nodes: usize, seed: u64) -> f64 {
-    let mut replay = Replay::new(nodes);
-    let (mut times, mut bursts) = (dice(seed), dice(!seed));
+    let mut simulation = Simulation::new(nodes);
+    let (mut times, mut bursts) = (rng(seed), rng(!seed));
     // A call takes 5 to 35 ms.
-    let mut took = || 5_000 + times() % 30_000;
+    let mut service_us = || 5_000 + times() % 30_000;
     for step in 0..40_000 {
-        replay.now = Moment(step * STEP_US);
-        // A burst of 7 for one of the nodes each 50 ms, in which the server does 5.
+        simulation.now = Moment(step * STEP_US);
+        // One of the nodes gets a burst of 7 calls every 50 ms, in which the server completes 5.
         if step % 100 == 0 {
             let node = bursts() as usize % nodes;
-            replay.waiting[node] += 6 + (bursts() % 3) as u32;
+            simulation.waiting[node] += 6 + (bursts() % 3) as u32;
         }
-        replay.send();
-        replay.serve(&mut took);
-        replay.hear();
-        replay.count();
-        replay.waiting.iter_mut().for_each(|waiting| *waiting = (*waiting).min(40));
+        simulation.send();
+        simulation.serve(&mut service_us);
+        simulation.receive();
+        simulation.count();
+        simulation.waiting.iter_mut().for_each(|waiting| *waiting = (*waiting).min(40));
     }
-    replay.idle as f64 / replay.wanted.max(1) as f64
+    simulation.idle as f64 / simulation.demanded.max(1) as f64
 }
 
 quickcheck! {
@@ -125,20 +127,20 @@
         true
     }
 
-    fn a_node_may_always_have_one_call_out_and_never_more_than_the_slots_and_one(
+    fn the_limit_is_at_least_one_and_at_most_one_more_than_the_slots(
         slots: u8, requests: u16, own: u16, age_ms: u16
     ) -> bool {
         let slots = u32::from(slots.max(1));
-        let others = PeerLoad::learn(Moment(0), u32::from(requests), u32::from(own));
-        let room = inflight_limit(Moment(0).plus(Duration::from_millis(u64::from(age_ms))), slots, Some(others));
-        (1..=slots + 1).contains(&room)
+        let peer_load = PeerLoad::from_report(Moment(0), u32::from(requests), u32::from(own));
+        let limit = inflight_limit(Moment(0).plus(Duration::from_millis(u64::from(age_ms))), slots, Some(peer_load));
+        (1..=slots + 1).contains(&limit)
     }
 }
 
 #[test]
-fn what_others_had_there_counts_less_the_older_it_is() {
-    let others = PeerLoad::learn(Moment(0), 4, 1);
-    let rooms = [0, 20, 40, 70, 100].map(|age_ms| inflight_limit(Moment(age_ms * 1_000), 3, Some(others)));
-    assert_eq!(rooms, [1, 2, 2, 3, 4]);
-    assert_eq!(inflight_limit(Moment(0), 3, None), 4, "nothing is known");
+fn the_reported_load_of_other_nodes_decays_with_its_age() {
+    let peer_load = PeerLoad::from_report(Moment(0), 4, 1);
+    let limits = [0, 20, 40, 70, 100].map(|age_ms| inflight_limit(Moment(age_ms * 1_000), 3, Some(peer_load)));
+    assert_eq!(limits, [1, 2, 2, 3, 4]);
+    assert_eq!(inflight_limit(Moment(0), 3, None), 4, "without a report");
 }
--- a/crates/policy/tests/routing_rules.rs
+++ b/crates/policy/tests/routing_rules.rs
@@ -1,5 +1,5 @@
-//! Rules of routing: extra calls stay in their bounds, servers that fall silent are gone round
-//! and come back, and an answer over shards goes out at the right moment.
+//! Routing rules: extra calls keep their bounds, silent servers are avoided until they answer, and an answer over
+//! several shards is sent at the right time.
 
 use std::time::Duration;
 
@@ -11,19 +11,20 @@
 
 const WINDOW: Duration = Duration::from_secs(10);
 const TYPICAL: Duration = Duration::from_millis(10);
-const SPELL: Duration = Duration::from_secs(1);
+const SLOW_PERIOD: Duration = Duration::from_secs(1);
 
 fn ms(millis: u64) -> Moment {
     Moment(millis * 1000)
 }
 
-/// Traffic at one node: pauses in milliseconds before each step, and requests or extra calls.
+/// Traffic at one node: requests, extra calls, and extra calls that were refused.
 struct Traffic {
     requests: Vec<(Moment, f64)>,
     extras: Vec<Moment>,
     refused: Vec<Moment>,
 }
 
+/// Runs steps of a pause in milliseconds followed by requests or extra calls.
 fn run_traffic(steps: Vec<(u16, u8)>, limits: &ExtraLimits) -> Traffic {
     let mut budget = ExtraBudget::default();
     let mut traffic = Traffic { requests: Vec::new(), extras: Vec::new(), refused: Vec::new() };
@@ -45,18 +46,18 @@
     traffic
 }
 
-/// Extra calls and what bounds them in the window that ends with a moment.
-fn look_back(traffic: &Traffic, end: Moment, limits: &ExtraLimits) -> (f64, f64) {
+/// The number of extra calls in the window that ends at `end`, and its bound.
+fn count_extras(traffic: &Traffic, end: Moment, limits: &ExtraLimits) -> (f64, f64) {
     let is_in = |moment: Moment| moment <= end && end.since(moment) < limits.window;
     let extras = traffic.extras.iter().filter(|moment| is_in(**moment)).count();
     let requests: f64 = traffic.requests.iter().filter(|(moment, _)| is_in(*moment)).map(|(_, share)| share).sum();
     (extras as f64, limits.ratio * requests + limits.allowance)
 }
 
-/// Whether the bound holds in every window that ends with an extra call: others hold no more.
+/// Whether the bound holds in every window that ends with an extra call. Other windows contain no more extra calls.
 fn keeps_bound(traffic: &Traffic, limits: &ExtraLimits) -> bool {
     traffic.extras.iter().all(|end| {
-        let (extras, bound) = look_back(traffic, *end, limits);
+        let (extras, bound) = count_extras(traffic, *end, limits);
         extras <= bound + 1e-6
     })
 }
@@ -76,29 +77,29 @@
         TestResult::from_bool(keeps_bound(&run_traffic(steps, &limits), &limits))
     }
 
-    /// Without requests only the allowance is spent, and after a quiet window all of it is there.
-    fn the_allowance_comes_back_whole(allowance: u8, asked: u8, pause: u32) -> bool {
+    /// Without requests only the allowance can be spent, and after a window without calls all of it is available again.
+    fn the_allowance_is_restored_after_a_quiet_window(allowance: u8, attempts: u8, pause: u32) -> bool {
         let limits = ExtraLimits { ratio: 0.1, window: WINDOW, allowance: f64::from(allowance) };
         let mut budget = ExtraBudget::default();
         let start = ms(u64::from(pause));
-        let first = (0..asked).filter(|_| budget.spend(start, &limits)).count();
-        // A little more than a window, since the oldest bucket counts until it is out whole.
+        let first = (0..attempts).filter(|_| budget.spend(start, &limits)).count();
+        // Slightly more than a window, since the oldest bucket counts until it has left the window completely.
         let later = start.plus(WINDOW).plus(WINDOW / 20);
-        let second = (0..asked).filter(|_| budget.spend(later, &limits)).count();
-        let expected = usize::from(allowance.min(asked));
+        let second = (0..attempts).filter(|_| budget.spend(later, &limits)).count();
+        let expected = usize::from(allowance.min(attempts));
         (first, second) == (expected, expected)
     }
 
-    /// Nobody is refused an extra call that even the requests of a slightly shorter window allow.
-    fn the_budget_is_not_stingy(steps: Vec<(u16, u8)>) -> bool {
+    /// No extra call is refused that the requests of a slightly shorter window allow.
+    fn the_budget_refuses_no_call_within_the_bound(steps: Vec<(u16, u8)>) -> bool {
         let limits = ExtraLimits { ratio: 0.5, window: WINDOW, allowance: 2.0 };
         let traffic = run_traffic(steps, &limits);
         let shorter = ExtraLimits { window: WINDOW - WINDOW / 10, ..limits };
         let longer = ExtraLimits { window: WINDOW + WINDOW / 10, ..limits };
         traffic.refused.iter().all(|end| {
-            let extras = look_back(&traffic, *end, &longer).0;
-            let bound = look_back(&traffic, *end, &shorter).1;
-            // Later steps of the same moment may have been added after the refusal.
+            let extras = count_extras(&traffic, *end, &longer).0;
+            let bound = count_extras(&traffic, *end, &shorter).1;
+            // Later steps at the same time may have added requests after the refusal.
             let is_alone = traffic.requests.iter().all(|(moment, _)| moment != end);
             !is_alone || extras + 1.0 > bound - 1e-6
         })
@@ -110,16 +111,16 @@
 }
 
 fn cost(server: &ReplicaState, now: Moment) -> f64 {
-    server.cost(now, Distance::Domain, TYPICAL, SPELL)
+    server.cost(now, Distance::Domain, TYPICAL, SLOW_PERIOD)
 }
 
-/// For how many milliseconds from a moment on a server is gone round.
+/// Number of milliseconds after `from` during which a server is avoided.
 fn avoided_for(server: &ReplicaState, from: Moment) -> u64 {
     (0..20_000).find(|millis| !server.is_avoided(from.plus(Duration::from_millis(*millis)))).expect("an end")
 }
 
 #[test]
-fn a_silent_server_is_gone_round_longer_each_time_and_comes_back_by_an_answer() {
+fn a_silent_server_is_avoided_longer_each_time_until_it_answers() {
     let mut server = server();
     let mut now = ms(1);
     let mut spans = Vec::new();
@@ -128,7 +129,7 @@
         server.note_overdue(now, now);
         let span = avoided_for(&server, now);
         spans.push(span);
-        // While it is gone round, more overdue calls add nothing.
+        // While the server is avoided, further overdue calls do not prolong it.
         server.note_overdue(now.plus(Duration::from_millis(1)), now);
         assert_eq!(avoided_for(&server, now), span);
         now = now.plus(Duration::from_millis(span));
@@ -139,11 +140,11 @@
     server.finish(now, ms(0), CallSample::Answered);
     assert!(!server.is_avoided(now), "an answer ends the silence");
     server.note_overdue(now, now);
-    assert_eq!(avoided_for(&server, now), spans[0], "and the next one is a first again");
+    assert_eq!(avoided_for(&server, now), spans[0], "the next silence starts with the first span again");
 }
 
 #[test]
-fn a_slow_server_that_answers_others_is_not_taken_for_silent() {
+fn a_slow_server_that_answers_other_calls_does_not_count_as_silent() {
     let started = ms(100);
     let mut server = server();
     (0..2).for_each(|_| server.start(ms(0)));
@@ -151,27 +152,27 @@
     assert!(server.has_answered_since(started));
     server.note_overdue(ms(200), started);
     assert!(!server.is_avoided(ms(200)));
-    // Nothing since the answer: now it is silent.
+    // A call that began after the last answer is overdue, so the server is silent.
     server.note_overdue(ms(300), ms(160));
     assert!(server.is_avoided(ms(300)));
 }
 
 #[test]
-fn a_server_is_busy_only_where_work_waits() {
+fn a_server_is_busy_only_if_requests_queue() {
     let now = ms(100);
     let mut server = server();
     (0..4).for_each(|_| server.start(ms(0)));
-    assert!(!server.is_busy(now), "all slots are taken and nothing waits");
+    assert!(!server.is_busy(now), "all slots are taken and no request queues");
     server.start(ms(0));
     assert!(server.is_busy(now));
     server.finish(now, ms(0), CallSample::Abandoned);
     server.record_load(now, 4, 1);
-    assert!(server.is_busy(now), "by its own word");
-    assert!(!server.is_busy(now.plus(Duration::from_secs(2))), "which is soon forgotten");
+    assert!(server.is_busy(now), "by its own load report");
+    assert!(!server.is_busy(now.plus(Duration::from_secs(2))), "the report expires");
 }
 
 #[test]
-fn refusals_and_failures_make_a_server_dear_until_they_fade() {
+fn refusals_and_failures_raise_the_cost_until_they_decay() {
     for sample in [CallSample::Full, CallSample::Failed] {
         let mut now = ms(1);
         let mut refusing = server();
@@ -180,23 +181,23 @@
             refusing.start(ms(0));
             refusing.finish(now, ms(0), sample);
         }
-        // Long enough that it is not gone round any more, and soon enough to remember.
+        // Late enough that the server is no longer avoided, and early enough that the refusals still count.
         let soon = now.plus(Duration::from_millis(2_100));
         assert!(!refusing.is_avoided(soon));
         assert!(cost(&refusing, soon) > 1.3 * cost(&server(), soon), "{sample:?}");
         let late = now.plus(Duration::from_secs(60));
         assert!((cost(&refusing, late) / cost(&server(), late) - 1.0).abs() < 1e-3, "{sample:?}");
-        let mut healed = refusing.clone();
+        let mut recovered = refusing.clone();
         for _ in 0..40 {
-            healed.start(ms(0));
-            healed.finish(soon, ms(0), CallSample::Answered);
+            recovered.start(ms(0));
+            recovered.finish(soon, ms(0), CallSample::Answered);
         }
-        assert!((cost(&healed, soon) / cost(&server(), soon) - 1.0).abs() < 0.05, "{sample:?}");
+        assert!((cost(&recovered, soon) / cost(&server(), soon) - 1.0).abs() < 0.05, "{sample:?}");
     }
 }
 
 #[test]
-fn a_failing_server_rests_longer_each_time_until_it_answers() {
+fn a_failing_server_backs_off_longer_each_time_until_it_answers() {
     let mut server = server();
     let mut now = ms(1);
     let mut spans = Vec::new();
@@ -216,7 +217,7 @@
 }
 
 #[test]
-fn a_full_server_rests_shortly_and_an_abandoned_call_says_nothing() {
+fn a_full_server_backs_off_briefly_and_an_abandoned_call_changes_nothing() {
     let now = ms(1);
     let mut full = server();
     full.start(ms(0));
@@ -246,26 +247,26 @@
     avoided.note_overdue(now, now);
     let mut busy = server();
     (0..12).for_each(|_| busy.start(now));
-    let mut told = server();
-    told.record_load(now, 4, 8);
-    let typical = |server: &ReplicaState, distance| server.cost(now, distance, TYPICAL, SPELL);
+    let mut reported = server();
+    reported.record_load(now, 4, 8);
+    let typical = |server: &ReplicaState, distance| server.cost(now, distance, TYPICAL, SLOW_PERIOD);
     let mut ranked = [
         ("idle, near", typical(&server(), Distance::Domain)),
         ("idle, in the region", typical(&server(), Distance::Region)),
         ("idle, far", typical(&server(), Distance::Far)),
         ("busy with our calls, near", typical(&busy, Distance::Domain)),
-        ("busy by its own word, near", typical(&told, Distance::Domain)),
+        ("busy by its own word, near", typical(&reported, Distance::Domain)),
         ("silent, near", typical(&avoided, Distance::Domain)),
     ];
     ranked.sort_by(|(_, a), (_, b)| a.total_cmp(b));
     let names: Vec<&str> = ranked.iter().map(|(name, _)| *name).collect();
     insta::assert_debug_snapshot!(names);
     let later = now.plus(Duration::from_secs(2));
-    assert_eq!(cost(&told, later).to_bits(), cost(&server(), later).to_bits(), "a told load is soon forgotten");
+    assert_eq!(cost(&reported, later).to_bits(), cost(&server(), later).to_bits(), "a reported load expires");
 }
 
 quickcheck! {
-    /// Whatever happens, calls are counted, costs are finite and nobody is gone round for ever.
+    /// For any events, calls are counted, costs are finite and no server is avoided forever.
     fn any_events_leave_a_usable_server(events: Vec<(u16, u8, u8)>) -> bool {
         let mut server = server();
         let mut now = ms(0);
@@ -307,7 +308,7 @@
     FoldRule { target, limit, min_coverage: 0.5, shards: 4 }
 }
 
-fn tell_step(step: FoldStep) -> String {
+fn format_step(step: FoldStep) -> String {
     match step {
         FoldStep::Answer => "answer".to_owned(),
         FoldStep::Wait(until) => format!("wait to {}", until.as_millis()),
@@ -324,7 +325,7 @@
             [(4, 0), (3, 1), (3, 0), (2, 2), (2, 0), (1, 3), (1, 1), (1, 0), (0, 4), (0, 1), (0, 0)]
         {
             let step = rule.step(Duration::from_millis(elapsed), answered, pending);
-            table.push(format!("{elapsed:<4} {answered:<3} {pending:<4} {}", tell_step(step)));
+            table.push(format!("{elapsed:<4} {answered:<3} {pending:<4} {}", format_step(step)));
         }
     }
     insta::assert_snapshot!(table.join("\n"));
@@ -336,15 +337,16 @@
     assert!(!none.is_enough(0));
     assert!(none.is_enough(1));
     assert_eq!(none.step(Duration::from_millis(600), 0, 2), FoldStep::GiveUp);
-    // A third of three shards is one, however the share is rounded.
+    // A third of three shards is one shard, however the share is rounded.
     assert!(FoldRule { min_coverage: 1.0 / 3.0, shards: 3, ..rule() }.is_enough(1));
     assert!(!FoldRule { min_coverage: 0.34, shards: 3, ..rule() }.is_enough(1));
 }
 
 quickcheck! {
-    /// An answer is never given below the bound, a wait never goes past the limit, and at the
-    /// limit all is decided.
-    fn a_fold_is_sound(elapsed: u16, target: u16, limit: u16, share: u8, answered: usize, pending: usize) -> bool {
+    /// No answer is given below the coverage bound, no wait exceeds the time limit, and at the limit the step is final.
+    fn fold_steps_keep_the_coverage_bound_and_the_time_limit(
+        elapsed: u16, target: u16, limit: u16, share: u8, answered: usize, pending: usize
+    ) -> bool {
         let shards = 20;
         let answered = answered % (shards + 1);
         let pending = pending % (shards - answered + 1);
@@ -361,22 +363,22 @@
 }
 
 #[test]
-fn a_server_with_a_call_long_open_costs_as_much_as_that_call_has_taken() {
+fn an_open_call_raises_the_cost_to_its_age() {
     let mut stuck = server();
     stuck.start(ms(0));
-    let told: Vec<u64> = [1, 10, 50, 400].map(|millis| cost(&stuck, ms(millis)) as u64).to_vec();
-    insta::assert_debug_snapshot!(told);
+    let costs: Vec<u64> = [1, 10, 50, 400].map(|millis| cost(&stuck, ms(millis)) as u64).to_vec();
+    insta::assert_debug_snapshot!(costs);
     stuck.finish(ms(400), ms(0), CallSample::Abandoned);
-    assert!(cost(&stuck, ms(400)) < 1.2 * cost(&server(), ms(400)), "it is forgotten with the call");
+    assert!(cost(&stuck, ms(400)) < 1.2 * cost(&server(), ms(400)), "it ends with the call");
 }
 
 #[test]
-fn a_server_that_refuses_is_remembered_sooner_than_one_that_failed_once() {
+fn one_refusal_raises_the_cost_more_than_one_failure() {
     let after_one = |sample| {
         let mut server = server();
         server.start(ms(1));
         server.finish(ms(1), ms(1), sample);
-        // Once it rests no more.
+        // After the end of the backoff.
         cost(&server, ms(150))
     };
     let fresh = cost(&server(), ms(150));
