--- a/crates/policy/src/hedge.rs
+++ b/crates/policy/src/hedge.rs
@@ -1,28 +1,27 @@
-//! When to start a second attempt, and how much extra load that may be. Three rules stand
-//! side by side so that an experiment can compare them; `docs/design/0006-hedging.md` has
-//! the figures.
+//! Hedging rules: when to send a second attempt, and how much extra load hedges may cause. There are three rules, so
+//! that an experiment can compare them; `docs/design/0006-hedging.md` has the figures.
 
-/// What a rule allows at the present load.
+/// What a hedging rule allows at a load.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HedgePlan {
-    /// Hedge after this quantile of the upstream's latency.
+    /// Quantile of the upstream's latency after which a hedge is sent.
     pub quantile: f64,
-    /// Hedges as a share of first attempts.
+    /// Budget for hedges, as a share of first attempts.
     pub share: f64,
 }
 
-/// A rule for hedging. `load` is the share of the upstream's call slots in use, waiting work
-/// included, so it can be over 1.
+/// A hedging rule. `load` is the share of the upstream's call slots in use. It includes queued work, so it can exceed
+/// 1.
 pub trait HedgeRule: Send {
-    /// What is allowed at this load; `None` for no hedging.
+    /// The plan at this load; `None` for no hedging.
     fn plan(&mut self, load: f64) -> Option<HedgePlan>;
 }
 
-/// The same budget up to a load at which servers are nearly full: the rule in use.
+/// A constant budget up to a load at which servers are nearly full. This is the default.
 #[derive(Debug, Default)]
 pub struct FixedHedge;
 
-/// Above this load there is no hedging.
+/// Load from which on `FixedHedge` sends no hedges.
 const FULL_LOAD: f64 = 0.7;
 
 impl HedgeRule for FixedHedge {
@@ -34,37 +33,37 @@
 /// A plan for each range of load, with hysteresis.
 #[derive(Debug, Default)]
 pub struct TableHedge {
-    gear: usize,
+    range: usize,
 }
 
-/// Upper ends of the load ranges and their plans; above the last there is no hedging.
-const GEARS: [(f64, HedgePlan); 3] = [
+/// Upper ends of the load ranges and their plans. Above the last one there is no hedging.
+const LOAD_RANGES: [(f64, HedgePlan); 3] = [
     (0.3, HedgePlan { quantile: 0.9, share: 0.05 }),
     (0.6, HedgePlan { quantile: 0.95, share: 0.03 }),
     (0.85, HedgePlan { quantile: 0.99, share: 0.01 }),
 ];
-/// The load must fall this far below a range's end before the gear goes back.
-const GEAR_HYSTERESIS: f64 = 0.05;
+/// Distance by which the load must fall below the end of a range before that range applies again.
+const RANGE_HYSTERESIS: f64 = 0.05;
 
 impl HedgeRule for TableHedge {
     fn plan(&mut self, load: f64) -> Option<HedgePlan> {
-        while self.gear < GEARS.len() && load > GEARS[self.gear].0 {
-            self.gear += 1;
+        while self.range < LOAD_RANGES.len() && load > LOAD_RANGES[self.range].0 {
+            self.range += 1;
         }
-        while self.gear > 0 && load < GEARS[self.gear - 1].0 - GEAR_HYSTERESIS {
-            self.gear -= 1;
+        while self.range > 0 && load < LOAD_RANGES[self.range - 1].0 - RANGE_HYSTERESIS {
+            self.range -= 1;
         }
-        GEARS.get(self.gear).map(|(_, plan)| *plan)
+        LOAD_RANGES.get(self.range).map(|(_, plan)| *plan)
     }
 }
 
-/// A budget that shrinks evenly with the load and is gone at full load.
+/// A budget that shrinks linearly with the load, to none at full load.
 #[derive(Debug, Default)]
 pub struct ContinuousHedge;
 
-/// The share at no load.
+/// Budget at no load, as a share of first attempts.
 const IDLE_SHARE: f64 = 0.05;
-/// The quantile at no load and at full load.
+/// Latency quantiles at no load and at full load.
 const IDLE_QUANTILE: f64 = 0.93;
 const FULL_QUANTILE: f64 = 0.99;
 
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -1,15 +1,15 @@
-//! A quantile of recent latencies in a few words of memory.
+//! Latency histogram with exponential buckets and decay, for quantiles of recent latencies.
 
 use std::time::Duration;
 
-/// Buckets of a factor 2^(1/4), from 16 us up; the last is open.
+/// Number of buckets. Each is a factor of 2^(1/4) wide, from 16 us up; the last one is unbounded.
 const BUCKETS: usize = 96;
 const FIRST_BUCKET_US: f64 = 16.0;
 const BUCKETS_PER_DOUBLING: f64 = 4.0;
-/// At this many samples all counts are halved, so that old ones fade.
+/// Sample count at which all counts are halved, so that old samples lose weight.
 const HALVE_AT: u32 = 2_000;
 
-/// A fading histogram of latencies.
+/// A latency histogram in which old samples lose weight.
 #[derive(Debug, Clone)]
 pub struct LatencyHistogram {
     counts: Vec<u32>,
@@ -41,23 +41,23 @@
         self.total = self.counts.iter().sum();
     }
 
-    /// Samples still counted.
+    /// Number of samples counted, after halving.
     pub fn samples(&self) -> u32 {
         self.total
     }
 
-    /// The upper edge of the bucket in which the quantile lies; `None` without samples.
+    /// The upper bound of the bucket that contains the quantile; `None` without samples.
     pub fn quantile(&self, quantile: f64) -> Option<Duration> {
         if self.total == 0 {
             return None;
         }
         let rank = (f64::from(self.total) * quantile).ceil().max(1.0) as u32;
-        let mut seen = 0;
-        let reached = self.counts.iter().position(|count| {
-            seen += count;
-            seen >= rank
+        let mut cumulative = 0;
+        let bucket = self.counts.iter().position(|count| {
+            cumulative += count;
+            cumulative >= rank
         })?;
-        let edge = FIRST_BUCKET_US * 2f64.powf((reached + 1) as f64 / BUCKETS_PER_DOUBLING);
-        Some(Duration::from_micros(edge as u64))
+        let upper_us = FIRST_BUCKET_US * 2f64.powf((bucket + 1) as f64 / BUCKETS_PER_DOUBLING);
+        Some(Duration::from_micros(upper_us as u64))
     }
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,5 +1,5 @@
-//! Whether a failed piece of work is tried again. A refusal cost the server next to nothing,
-//! so it may be repeated more freely than a failure, which may have cost a whole run.
+//! Retry budgets. A refusal costs the server next to nothing, so its budget is larger than that for failures, each of
+//! which may have cost a whole run of the work.
 
 use std::time::Duration;
 
@@ -8,21 +8,21 @@
 use crate::budget::TokenBudget;
 use crate::latency::LatencyHistogram;
 
-/// How freely work is tried again.
+/// Rates of the retry budgets and the limit of attempts.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryRates {
-    /// Retries after a failure, as a share of first attempts.
+    /// Retries after failures, as a share of first attempts.
     pub failed: f64,
-    /// Retries after a refusal, likewise.
+    /// Retries after refusals, as a share of first attempts.
     pub refused: f64,
-    /// Attempts at one piece of work at most.
-    pub tries: u32,
+    /// Maximum number of attempts, the first one included.
+    pub max_attempts: u32,
 }
 
-/// Tokens a quiet upstream keeps.
+/// Tokens that an idle upstream keeps in each budget.
 const FAILED_RESERVE: f64 = 10.0;
 const REFUSED_RESERVE: f64 = 50.0;
-/// A retry needs time for an answer of this quantile.
+/// A retry is made only if the time left exceeds this quantile of the latency.
 const TYPICAL_QUANTILE: f64 = 0.5;
 
 /// The retry budgets of one upstream at one owner.
@@ -34,22 +34,28 @@
 }
 
 impl RetryBudget {
-    /// Full budgets.
+    /// Creates full budgets.
     pub fn new(rates: RetryRates) -> Self {
         Self { rates, failed: TokenBudget::new(FAILED_RESERVE), refused: TokenBudget::new(REFUSED_RESERVE) }
     }
 
-    /// Notes one first attempt.
+    /// Records a first attempt, which earns tokens.
     pub fn earn(&mut self) {
         self.failed.earn(self.rates.failed);
         self.refused.earn(self.rates.refused);
     }
 
-    /// Whether to try again after `tries` attempts, the last of which ended in `outcome`,
-    /// with `left` until the deadline. Spends from the budget.
-    pub fn may_retry(&mut self, outcome: AttemptOutcome, track: &LatencyHistogram, left: Duration, tries: u32) -> bool {
-        let has_time = track.quantile(TYPICAL_QUANTILE).map_or(!left.is_zero(), |typical| typical < left);
-        if tries >= self.rates.tries || !has_time {
+    /// Whether to retry after `attempts` attempts, the last of which ended in `outcome`, with `left` until the
+    /// deadline. A permitted retry spends a token.
+    pub fn may_retry(
+        &mut self,
+        outcome: AttemptOutcome,
+        latencies: &LatencyHistogram,
+        left: Duration,
+        attempts: u32,
+    ) -> bool {
+        let has_time = latencies.quantile(TYPICAL_QUANTILE).map_or(!left.is_zero(), |typical| typical < left);
+        if attempts >= self.rates.max_attempts || !has_time {
             return false;
         }
         match outcome.is_not_run() {
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -1,4 +1,4 @@
-//! The border of this crate: how attempts are made, as a trait with two implementations.
+//! The interface of this crate for attempts: server selection, hedging, retries and limits, with two implementations.
 
 use rand::{Rng, RngCore};
 use serde::Deserialize;
@@ -8,46 +8,48 @@
 use crate::retry::RetryRates;
 use crate::server::ServerState;
 
-/// At most this share of an upstream's servers rests at once.
-const MAX_RESTING_SHARE: f64 = 0.5;
-/// How attempts at the servers of one upstream are made.
+/// Share of an upstream's servers that may be in backoff. If more are, backoff is ignored.
+const MAX_BACKOFF_SHARE: f64 = 0.5;
+
+/// Rules for attempts at the servers of one upstream.
 pub trait AttemptRules: Send + Sync {
-    /// The server for the next call among those that `allowed` lets through, if any has a slot.
+    /// Picks the server for the next call among those that `allowed` accepts; `None` if no server is available.
     fn pick(
         &self,
         servers: &[ServerState],
         allowed: &dyn Fn(usize, &ServerState) -> bool,
         now: Moment,
-        dice: &mut dyn RngCore,
+        rng: &mut dyn RngCore,
     ) -> Option<usize>;
 
-    /// The rule for hedges at one upstream.
+    /// The hedging rule for one upstream.
     fn hedge_rule(&self) -> Box<dyn HedgeRule>;
 
-    /// How freely failed work is tried again.
+    /// Retry budgets and the maximum number of attempts.
     fn retry_rates(&self) -> RetryRates;
 
-    /// Whether work waits in the queue for a slot, or starts at once whatever runs.
+    /// Whether work queues for a free slot under the concurrency limit; otherwise it starts at once.
     fn is_limited(&self) -> bool;
 }
 
-/// The rules of the product: two random candidates by cost, limits, rests, budgets.
+/// The rules in production use: power of two random choices by cost, concurrency limits, failure backoff, and retry and
+/// hedge budgets.
 #[derive(Debug, Default)]
 pub struct AdaptiveRules {
-    /// Which rule decides on hedges.
+    /// The hedging rule.
     pub hedging: HedgeChoice,
 }
 
-/// The rules for hedging that there are.
+/// Available hedging rules.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HedgeChoice {
-    /// The same budget until servers are nearly full.
+    /// A constant budget until servers are nearly full.
     #[default]
     Fixed,
-    /// A table of load ranges.
+    /// A budget for each range of load.
     Table,
-    /// A budget that shrinks evenly with the load.
+    /// A budget that shrinks linearly with the load.
     Continuous,
     /// No hedging.
     None,
@@ -70,20 +72,20 @@
         servers: &[ServerState],
         allowed: &dyn Fn(usize, &ServerState) -> bool,
         now: Moment,
-        dice: &mut dyn RngCore,
+        rng: &mut dyn RngCore,
     ) -> Option<usize> {
-        let resting = servers.iter().filter(|server| server.is_backing_off(now)).count();
-        let may_rest = resting as f64 <= servers.len() as f64 * MAX_RESTING_SHARE;
+        let backing_off = servers.iter().filter(|server| server.is_backing_off(now)).count();
+        let is_backoff_allowed = backing_off as f64 <= servers.len() as f64 * MAX_BACKOFF_SHARE;
         let usable = |(index, server): &(usize, &ServerState)| {
-            server.has_slot() && !(may_rest && server.is_backing_off(now)) && allowed(*index, server)
+            server.has_slot() && !(is_backoff_allowed && server.is_backing_off(now)) && allowed(*index, server)
         };
         let free: Vec<usize> = servers.iter().enumerate().filter(usable).map(|(index, _)| index).collect();
         match free.len() {
             0 => None,
             1 => Some(free[0]),
             count => {
-                let first = dice.random_range(0..count);
-                let second = (first + dice.random_range(1..count)) % count;
+                let first = rng.random_range(0..count);
+                let second = (first + rng.random_range(1..count)) % count;
                 Some(Self::cheaper(servers, free[first], free[second], now))
             }
         }
@@ -99,7 +101,7 @@
     }
 
     fn retry_rates(&self) -> RetryRates {
-        RetryRates { failed: 0.1, refused: 0.5, tries: 8 }
+        RetryRates { failed: 0.1, refused: 0.5, max_attempts: 8 }
     }
 
     fn is_limited(&self) -> bool {
@@ -107,7 +109,7 @@
     }
 }
 
-/// What a plain client does: a random server, one retry, no hedge, no limit, no rest.
+/// The rules of a plain client, as a baseline: a random server, one retry, no hedges, no concurrency limit, no backoff.
 #[derive(Debug, Default)]
 pub struct BaselineRules;
 
@@ -117,13 +119,13 @@
         servers: &[ServerState],
         allowed: &dyn Fn(usize, &ServerState) -> bool,
         _now: Moment,
-        dice: &mut dyn RngCore,
+        rng: &mut dyn RngCore,
     ) -> Option<usize> {
         let free: Vec<usize> = (0..servers.len()).filter(|&index| allowed(index, &servers[index])).collect();
         if free.is_empty() {
             return None;
         }
-        Some(free[dice.random_range(0..free.len())])
+        Some(free[rng.random_range(0..free.len())])
     }
 
     fn hedge_rule(&self) -> Box<dyn HedgeRule> {
@@ -131,7 +133,7 @@
     }
 
     fn retry_rates(&self) -> RetryRates {
-        RetryRates { failed: 1.0, refused: 1.0, tries: 2 }
+        RetryRates { failed: 1.0, refused: 1.0, max_attempts: 2 }
     }
 
     fn is_limited(&self) -> bool {
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Rules that must hold in any order of events, by quickcheck.
+//! Property tests of invariants that must hold for any order of events.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -33,12 +33,12 @@
 }
 
 quickcheck! {
-    /// No server ever has more calls than its limit allowed when they started, expired work
-    /// never starts, a leaving server gets nothing, and nothing is lost.
-    fn the_queue_keeps_its_limits(events: Vec<(u8, u8)>) -> bool {
+    /// No server has more calls in flight than its limit allowed when they started, expired work never starts, a
+    /// draining server gets no work, and no work is lost.
+    fn the_queue_keeps_concurrency_limits_and_deadlines(events: Vec<(u8, u8)>) -> bool {
         let servers = vec![ServerState::new(2, 4), ServerState::new(2, 4)];
         let mut queue = UpstreamQueue::new(Arc::new(AdaptiveRules::default()), servers);
-        let mut dice = SmallRng::seed_from_u64(7);
+        let mut rng = SmallRng::seed_from_u64(7);
         let mut running: Vec<usize> = Vec::new();
         let mut submitted = 0;
         let mut started_count = 0;
@@ -48,7 +48,7 @@
             if kind % 3 != 0 || running.is_empty() {
                 submitted += 1;
                 let deadline = now.0 + u64::from(detail) * 100;
-                match queue.submit(now, item(deadline), false, deadline, &mut dice) {
+                match queue.submit(now, item(deadline), false, deadline, &mut rng) {
                     QueueSubmission::Started(server, _) => started.push((server, u64::MAX)),
                     QueueSubmission::Leaving(_) => submitted -= 1,
                     _ => {}
@@ -58,7 +58,7 @@
                 if kind == 0 {
                     queue.server_mut(1).mark_leaving();
                 }
-                let begun = queue.finish(now, server, report(detail), &mut dice);
+                let begun = queue.finish(now, server, report(detail), &mut rng);
                 started.extend(begun.into_iter().map(|work| (work.server, work.tag)));
             }
             for (server, deadline) in started {
@@ -74,8 +74,9 @@
         inflight as usize == running.len() && started_count + queue.waiting() <= submitted
     }
 
-    /// Running never passes the limit, counts add up, and a place given back goes to waiting work.
-    fn admission_keeps_its_counts(events: Vec<(u8, u8)>) -> bool {
+    /// The number of running requests never exceeds the limit, the counts are consistent, and a freed slot goes to
+    /// queued work.
+    fn admission_keeps_its_limit_and_counts(events: Vec<(u8, u8)>) -> bool {
         let mut gate: AdmissionGate<u8> = AdmissionGate::new(true);
         let callers: [CallerName; 2] = ["greedy", "modest"].map(|name| name.parse().expect("a name"));
         let mut running: Vec<usize> = Vec::new();
@@ -85,8 +86,8 @@
             let who = usize::from(who % 4 == 0);
             if kind % 3 != 0 || running.is_empty() {
                 let caller = callers[who].clone();
-                let ask = AdmissionAsk { caller, rate: 1e6, concurrency: 1_000, deadline: now.plus(Duration::from_secs(9)) };
-                match gate.ask(now, &ask, who as u8) {
+                let request = AdmissionAsk { caller, rate: 1e6, concurrency: 1_000, deadline: now.plus(Duration::from_secs(9)) };
+                match gate.ask(now, &request, who as u8) {
                     Admission::Started => running.push(who),
                     Admission::Waiting(_) => waiting += 1,
                     Admission::Displaced(..) | Admission::Refused(_) => {}
@@ -110,8 +111,8 @@
         true
     }
 
-    /// A pinned version is held by all where one is, and by somebody always; never above the cap.
-    fn a_pinned_version_is_held(ranges: Vec<(u8, u8)>, cap: u8) -> TestResult {
+    /// The pinned version is held by as many servers as possible and never exceeds the cap.
+    fn the_pinned_version_is_held_by_the_most_servers(ranges: Vec<(u8, u8)>, cap: u8) -> TestResult {
         let held: Vec<HeldVersions> = ranges.iter().map(|(oldest, span)| HeldVersions {
             oldest: IndexVersion(u64::from(*oldest)),
             newest: IndexVersion(u64::from(*oldest) + u64::from(*span % 8)),
@@ -119,14 +120,15 @@
         let cap = IndexVersion(u64::from(cap));
         let Some(version) = choose_version(&held, cap) else { return TestResult::from_bool(held.is_empty()) };
         let holders = |version: IndexVersion| held.iter().filter(|held| held.oldest <= version && version <= held.newest).count();
-        let most = (0..=cap.0).map(|version| holders(IndexVersion(version))).max().unwrap_or(0);
-        TestResult::from_bool(version <= cap && holders(version) == most)
+        let max_holders = (0..=cap.0).map(|version| holders(IndexVersion(version))).max().unwrap_or(0);
+        TestResult::from_bool(version <= cap && holders(version) == max_holders)
     }
 
-    /// What is known of a node does not depend on the order in which it was heard, and a node
-    /// that left never comes back within its run.
-    fn membership_does_not_depend_on_order(heard: Vec<(u8, u8, u8)>) -> bool {
-        let entries: Vec<MemberEntry> = heard.iter().map(|(run, beat, state)| entry("other", *run, *beat, *state)).collect();
+    /// The state of a node does not depend on the order in which updates arrive, and a node that left never rejoins
+    /// with the same incarnation.
+    fn membership_does_not_depend_on_the_order_of_updates(updates: Vec<(u8, u8, u8)>) -> bool {
+        let entries: Vec<MemberEntry> =
+            updates.iter().map(|(run, beat, state)| entry("other", *run, *beat, *state)).collect();
         let mut forward = table();
         let mut backward = table();
         for entry in &entries {
@@ -142,17 +144,17 @@
         rank(&forward) == rank(&backward) && rank(&forward).map(|(_, state, _)| state) == furthest
     }
 
-    /// Losing one node changes no owner but its own.
-    fn one_node_less_changes_one_owner(nodes: BTreeSet<u8>, key: String, gone: u8) -> bool {
+    /// The loss of a node replaces no other owner.
+    fn removing_a_node_keeps_the_other_owners(nodes: BTreeSet<u8>, key: String, gone: u8) -> bool {
         let names: Vec<String> = nodes.iter().map(|number| format!("node-{number}")).collect();
-        let rest: Vec<&str> = names.iter().map(String::as_str).filter(|name| *name != format!("node-{gone}")).collect();
+        let remaining: Vec<&str> = names.iter().map(String::as_str).filter(|name| *name != format!("node-{gone}")).collect();
         let before = choose_owners(names.iter().map(String::as_str), &key, 3);
-        let after = choose_owners(rest.iter().copied(), &key, 3);
-        before.iter().filter(|name| rest.contains(*name)).all(|name| after.contains(name))
+        let after = choose_owners(remaining.iter().copied(), &key, 3);
+        before.iter().filter(|name| remaining.contains(*name)).all(|name| after.contains(name))
     }
 
-    /// Owners that differ by one change still keep a server's limit.
-    fn shares_keep_a_servers_limit(limit: u16, owners: u8) -> TestResult {
+    /// Shares keep a server's connection limit even if two nodes disagree by one owner.
+    fn connection_shares_keep_the_limit_of_a_server(limit: u16, owners: u8) -> TestResult {
         let (limit, owners) = (u32::from(limit), usize::from(owners));
         if (limit as usize) <= owners {
             return TestResult::discard();
@@ -160,8 +162,8 @@
         TestResult::from_bool(connection_share(limit, owners) * (owners as u32 + 1) <= limit)
     }
 
-    /// "Not run" is said only if every attempt certainly did not run.
-    fn not_run_needs_every_attempt(kinds: Vec<u8>) -> bool {
+    /// "Not run" is reported only if every attempt certainly did not run.
+    fn not_run_is_reported_only_if_no_attempt_may_have_run(kinds: Vec<u8>) -> bool {
         let outcomes = [AttemptOutcome::NotSent, AttemptOutcome::Refused, AttemptOutcome::Answered, AttemptOutcome::Unknown];
         let attempts: Vec<AttemptOutcome> = kinds.iter().map(|kind| outcomes[usize::from(kind % 4)]).collect();
         let certain = attempts.iter().all(|outcome| outcome.is_not_run());
@@ -169,8 +171,8 @@
         (together.ran() == RanState::NotRun) == certain
     }
 
-    /// No rule allows more than its share at any load, and none hedges when full.
-    fn hedges_shrink_with_load(loads: Vec<u8>) -> bool {
+    /// No hedging rule exceeds its budget at any load, and none hedges at full load.
+    fn hedging_rules_keep_their_budget_at_any_load(loads: Vec<u8>) -> bool {
         let mut rules: [Box<dyn HedgeRule>; 3] =
             [Box::new(FixedHedge), Box::<TableHedge>::default(), Box::new(ContinuousHedge)];
         loads.iter().map(|load| f64::from(*load) / 128.0).all(|load| {
@@ -180,16 +182,16 @@
         })
     }
 
-    /// A quantile is at least the samples it covers, and at most a bucket above them.
+    /// A quantile is at least as high as the samples it covers, and at most one bucket above them.
     fn a_quantile_covers_its_samples(millis: Vec<u8>) -> TestResult {
-        let Some(most) = millis.iter().max().filter(|most| **most > 0) else { return TestResult::discard() };
-        let mut track = LatencyHistogram::default();
+        let Some(longest) = millis.iter().max().filter(|longest| **longest > 0) else { return TestResult::discard() };
+        let mut histogram = LatencyHistogram::default();
         for sample in &millis {
-            track.add(Duration::from_millis(u64::from(*sample)));
+            histogram.add(Duration::from_millis(u64::from(*sample)));
         }
-        let most = f64::from(*most);
-        let highest = track.quantile(1.0).map_or(0.0, |quantile| quantile.as_secs_f64() * 1e3);
-        TestResult::from_bool(highest >= most * 0.999 && highest <= most * 1.2)
+        let longest = f64::from(*longest);
+        let highest = histogram.quantile(1.0).map_or(0.0, |quantile| quantile.as_secs_f64() * 1e3);
+        TestResult::from_bool(highest >= longest * 0.999 && highest <= longest * 1.2)
     }
 }
 
@@ -218,29 +220,33 @@
 }
 
 #[test]
-fn silence_makes_a_node_suspect_then_dead_and_a_beat_brings_it_back() {
+fn a_silent_node_is_suspect_then_dead_until_its_next_heartbeat() {
     let mut table = table();
     let node = "other".parse().expect("an id");
     let at = |millis: u64| Moment(millis * 1_000);
     table.learn(at(0), entry("other", 0, 1, 0));
-    // The node itself runs all the while: silence counts only where it listens.
-    let mut look = |millis: u64| {
+    // The node itself runs all the time: silence only counts while it listens.
+    let mut health_after = |millis: u64| {
         (0..=millis / 100).for_each(|beat| table.update_own(at(beat * 100), |_| {}));
         table.health(at(millis), &node)
     };
-    let seen: Vec<MemberHealth> = [100, 700, 1_700].map(&mut look).to_vec();
+    let seen: Vec<MemberHealth> = [100, 700, 1_700].map(&mut health_after).to_vec();
     assert_eq!(seen, [MemberHealth::Live, MemberHealth::Suspect, MemberHealth::Dead]);
     table.learn(at(9_000), entry("other", 0, 2, 0));
     assert_eq!(table.health(at(9_100), &node), MemberHealth::Live);
     table.learn(at(9_200), entry("other", 0, 3, 1));
     table.learn(at(9_300), entry("other", 0, 4, 0));
-    assert_eq!(table.workers(at(9_400)).count(), 1, "a node that said it leaves gets no work in this run");
+    assert_eq!(
+        table.workers(at(9_400)).count(),
+        1,
+        "a node that reported it is leaving gets no work in this incarnation"
+    );
 }
 
 #[test]
 fn a_modest_caller_displaces_a_greedy_one() {
     let mut gate: AdmissionGate<&str> = AdmissionGate::new(true);
-    let ask = |name: &str| AdmissionAsk {
+    let request = |name: &str| AdmissionAsk {
         caller: name.parse().expect("a name"),
         rate: 1e6,
         concurrency: 1_000,
@@ -248,11 +254,11 @@
     };
     let mut refused = 0;
     for _ in 0..200 {
-        refused += usize::from(matches!(gate.ask(Moment(1), &ask("greedy"), "greedy"), Admission::Refused(_)));
+        refused += usize::from(matches!(gate.ask(Moment(1), &request("greedy"), "greedy"), Admission::Refused(_)));
     }
     assert!(refused > 0 && gate.waiting() > 0);
-    assert!(matches!(gate.ask(Moment(1), &ask("modest"), "modest"), Admission::Displaced(_, "greedy")));
+    assert!(matches!(gate.ask(Moment(1), &request("modest"), "modest"), Admission::Displaced(_, "greedy")));
     let caller = "greedy".parse().expect("a name");
     let started = gate.leave(Moment(2), &caller, Duration::from_millis(1), WorkReport::default());
-    assert_eq!(started[0].1, "modest", "the caller with the fewest running is next");
+    assert_eq!(started[0].1, "modest", "the caller with the fewest running requests is next");
 }
