--- a/crates/policy/src/recent_work.rs
+++ b/crates/policy/src/recent_work.rs
@@ -1,7 +1,7 @@
-//! What a server worked on when its process ended.
+//! Finds the requests that may have crashed a server.
 //!
-//! The load pattern: a request ends the process of each server that runs it, some milliseconds after it
-//! began, while other requests run beside it.
+//! The load pattern: a request crashes every server that runs it, some milliseconds after it began, while other
+//! requests run concurrently.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,21 +9,21 @@
 use crate::Moment;
 use crate::crash_book::{CrashSuspect, SURVIVED_AFTER};
 
-/// How long after its end a call may still be what ended the server: processes end some 100 ms after a call began,
-/// and the node learns of it a way later.
+/// Time after its end during which a call is still a suspect: a process crashes about 100 ms after a call began, and
+/// the node learns of it one network trip later.
 pub const RECENT_WINDOW: Duration = Duration::from_millis(200);
-/// Calls remembered after their end; a server has a few slots, and works on a call for milliseconds.
-const MAX_ENDED: usize = 16;
+/// Number of ended calls that are remembered. A server has a few slots and works on a call for milliseconds.
+const MAX_ENDED_CALLS: usize = 16;
 
-/// A call that ended.
+/// An ended call.
 #[derive(Debug, Clone, Copy)]
 struct EndedWork {
-    at: Moment,
+    ended_at: Moment,
     suspect: CrashSuspect,
     is_answered: bool,
 }
 
-/// The calls of one node that a server works on, or worked on lately.
+/// The calls of one node that a server runs or ran recently.
 #[derive(Debug, Default)]
 pub struct RecentWork {
     running: Vec<CrashSuspect>,
@@ -31,28 +31,28 @@
 }
 
 impl RecentWork {
-    /// Notes that a call went out.
+    /// Records the start of a call.
     pub fn note_start(&mut self, suspect: CrashSuspect) {
         self.running.push(suspect);
     }
 
-    /// Notes that a call ended, and whether the server answered it.
+    /// Records the end of a call, and whether the server answered it.
     pub fn note_end(&mut self, now: Moment, suspect: CrashSuspect, is_answered: bool) {
         if let Some(position) = self.running.iter().position(|running| *running == suspect) {
             self.running.swap_remove(position);
         }
-        if self.ended.len() == MAX_ENDED {
+        if self.ended.len() == MAX_ENDED_CALLS {
             self.ended.pop_front();
         }
-        self.ended.push_back(EndedWork { at: now, suspect, is_answered });
+        self.ended.push_back(EndedWork { ended_at: now, suspect, is_answered });
     }
 
-    /// What it works on, or worked on lately without an answer, each once. Left out is what it has lived
-    /// through before: a content that many ask for is under way whenever a server ends.
+    /// Distinct suspects among the running calls and the recent calls that got no answer. A content that the server has
+    /// survived before is left out, since a popular content is running whenever a server crashes.
     pub fn suspects(&self, now: Moment) -> Vec<CrashSuspect> {
-        let is_lately = |ended: &&EndedWork| !ended.is_answered && now.since(ended.at) <= RECENT_WINDOW;
-        let lately = self.ended.iter().filter(is_lately).map(|ended| ended.suspect);
-        let mut suspects: Vec<CrashSuspect> = self.running.iter().copied().chain(lately).collect();
+        let is_recent = |ended: &&EndedWork| !ended.is_answered && now.since(ended.ended_at) <= RECENT_WINDOW;
+        let recent = self.ended.iter().filter(is_recent).map(|ended| ended.suspect);
+        let mut suspects: Vec<CrashSuspect> = self.running.iter().copied().chain(recent).collect();
         suspects.sort_unstable();
         suspects.dedup();
         suspects.retain(|suspect| !self.has_survived(now, *suspect));
@@ -60,7 +60,7 @@
     }
 
     fn has_survived(&self, now: Moment, suspect: CrashSuspect) -> bool {
-        let is_long_ago = |ended: &&EndedWork| now.since(ended.at) >= SURVIVED_AFTER;
-        self.ended.iter().filter(is_long_ago).any(|ended| ended.is_answered && ended.suspect == suspect)
+        let is_old = |ended: &&EndedWork| now.since(ended.ended_at) >= SURVIVED_AFTER;
+        self.ended.iter().filter(is_old).any(|ended| ended.is_answered && ended.suspect == suspect)
     }
 }
--- a/crates/policy/tests/recent_work.rs
+++ b/crates/policy/tests/recent_work.rs
@@ -1,4 +1,4 @@
-//! What a server counts as having worked on when its process ends.
+//! Checks which calls are suspects when a server crashes.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn calls_under_way_and_those_that_have_just_ended_count_each_once() {
+fn running_and_recently_ended_calls_are_suspects_once_each() {
     let mut work = RecentWork::default();
     let [long, twice, old] = [1, 2, 3].map(|content| CrashSuspect { content: ContentId(content), is_lone: true });
     work.note_start(old);
@@ -30,19 +30,19 @@
 }
 
 #[test]
-fn what_a_server_has_lived_through_before_is_no_suspect() {
+fn a_content_that_the_server_survived_before_is_no_suspect() {
     let mut work = RecentWork::default();
     let [popular, new] = [1, 2].map(|content| CrashSuspect { content: ContentId(content), is_lone: true });
     work.note_start(popular);
     work.note_end(at(0), popular, true);
     work.note_start(popular);
     work.note_start(new);
-    assert_eq!(work.suspects(at(100)), [popular, new], "it may still end under the first");
+    assert_eq!(work.suspects(at(100)), [popular, new], "the first call of the content may still crash the server");
     assert_eq!(work.suspects(at(0).plus(SURVIVED_AFTER)), [new]);
 }
 
 #[test]
-fn a_call_that_was_answered_before_the_server_ended_is_no_suspect() {
+fn a_call_that_was_answered_before_the_crash_is_no_suspect() {
     let mut work = RecentWork::default();
     let [answered, lost] = [1, 2].map(|content| CrashSuspect { content: ContentId(content), is_lone: true });
     for suspect in [answered, lost] {
