--- a/crates/policy/src/finish_estimate.rs
+++ b/crates/policy/src/finish_estimate.rs
@@ -1,53 +1,55 @@
-//! When the servers of a request's shards are expected to have answered, by what is known of them.
+//! Estimates when enough shards of a request have answered, so that a request that cannot finish in time is not
+//! started.
 //!
-//! The load pattern: servers of some shards are slow for many seconds, or silent, and a request that needs them is
-//! begun, holds its caller until its deadline, and has used servers of all other shards for nothing. What is known
-//! may be old or wrong, so every figure here is the earliest that it allows.
+//! The load pattern: servers of some shards are slow for many seconds, or silent. A request that needs them starts,
+//! blocks its caller until the deadline, and wastes the work of the servers of all other shards. The state of a server
+//! may be old or wrong, so every estimate is the earliest time that it allows.
 
 use std::time::Duration;
 
 use crate::moment::Moment;
 
-/// A server's finish counts as solid from so many observations on that say the same. One may be mistaken or old.
-const SOLID_EVIDENCE: u32 = 2;
+/// Number of consistent observations from which an estimate is confirmed. A single one may be wrong or old.
+const MIN_OBSERVATIONS: u32 = 2;
 
-/// When a server is expected to have answered a call that goes to it now.
+/// Estimated time until a server has answered a call made now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerEstimate {
-    /// The earliest by what is known.
+    /// The earliest time that the state of the server allows.
     pub finish: Duration,
-    /// How many observations support that: an answer that told of it, a call that was not answered.
+    /// Number of observations that support the estimate: an answer that reported it, or a call that got no answer.
     pub observations: u32,
 }
 
 impl ServerEstimate {
-    /// That of a server of which nothing is known: it is expected in time.
+    /// Estimate for a server without observations: it is expected to answer in time.
     pub const UNKNOWN: Self = Self { finish: Duration::ZERO, observations: 0 };
 
-    /// Whether it holds without any one observation.
+    /// Whether the estimate holds if any single observation is discarded.
     pub fn is_confirmed(self) -> bool {
-        self.observations >= SOLID_EVIDENCE
+        self.observations >= MIN_OBSERVATIONS
     }
 }
 
-/// What is known of when a server answers.
+/// State of a server from which the time of an answer can be estimated.
 pub trait FinishEstimator {
-    /// When a call that goes to it now is expected to be answered, where such calls usually take `typical` and
-    /// servers stay slow for `spell`.
-    fn estimate_finish(&self, now: Moment, typical: Duration, spell: Duration) -> ServerEstimate;
+    /// Estimates the answer time of a call made now. `typical` is the usual duration of such calls, `slow_period` the
+    /// mean length of a slow period.
+    fn estimate_finish(&self, now: Moment, typical: Duration, slow_period: Duration) -> ServerEstimate;
 }
 
-/// When a shard is expected to have answered: as soon as its best server has.
+/// Estimated time until a shard has answered: that of its best server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShardEstimate {
-    /// The earliest; none where no server may be asked.
+    /// The earliest time; `None` if no server may be called.
     pub finish: Option<Duration>,
-    /// Whether that holds without any one observation.
+    /// Whether the estimate holds if any single observation is discarded.
     pub is_confirmed: bool,
 }
 
 impl ShardEstimate {
-    /// That of a shard with some servers, of which no further one is looked at once one is expected within a time.
+    /// Combines the estimates of a shard's servers. Stops at the first server that is expected to answer within
+    /// `within`.
     pub fn of(servers: impl Iterator<Item = ServerEstimate>, within: Duration) -> Self {
         let mut shard = Self { finish: None, is_confirmed: true };
         for server in servers {
@@ -61,17 +63,17 @@
     }
 }
 
-/// When `needed` of some shards are expected to have answered, whichever observation is left out; none where too few
-/// have a server at all.
+/// Estimates when `needed` of the shards have answered, such that the estimate holds if any single observation is
+/// discarded. `None` if too few shards have a server.
 pub fn estimate_answers(shards: &[ShardEstimate], needed: usize) -> Option<Duration> {
     let mut finishes: Vec<Duration> = shards.iter().filter_map(|shard| shard.finish).collect();
-    let fragile = shards.iter().filter(|shard| !shard.is_confirmed).filter_map(|shard| shard.finish).max();
+    let unconfirmed = shards.iter().filter(|shard| !shard.is_confirmed).filter_map(|shard| shard.finish).max();
     finishes.sort_unstable();
     let last = *finishes.get(needed.checked_sub(1)?)?;
-    // Without one observation, the shard that it is of may be in time, and each other one is needed a place earlier.
-    match fragile {
-        Some(fragile) if fragile >= last => {
-            Some(needed.checked_sub(2).map_or(Duration::ZERO, |before| finishes[before]))
+    // If one observation is discarded, its shard may answer in time, so one fewer of the other shards is needed.
+    match unconfirmed {
+        Some(unconfirmed) if unconfirmed >= last => {
+            Some(needed.checked_sub(2).map_or(Duration::ZERO, |position| finishes[position]))
         }
         _ => Some(last),
     }
--- a/crates/policy/src/server_exclusion.rs
+++ b/crates/policy/src/server_exclusion.rs
@@ -1,26 +1,26 @@
-//! Which servers a request may be sent to at all, whatever they would cost.
+//! Exclusion of servers from requests, whatever their cost.
 //!
-//! The load pattern: the best servers of a shard lie where the request must not go, because its route
-//! is bound to other regions or because the operator has evacuated their failure domain, or a call there
-//! would be lost, because nothing is heard from that failure domain. The rule holds for first calls, retries, second calls and batches alike,
-//! so it stands in one place, and a shard whose servers are all barred is missing.
+//! The load pattern: the best servers of a shard are where the request must not go, because its route is bound to other
+//! regions or the operator has evacuated their failure domain; or a call would be lost, because their failure domain is
+//! unreachable. The rule applies to first calls, retries, hedges and batches alike, so it is in one place. A shard
+//! whose servers are all excluded is missing from the answer.
 
 use std::fmt;
 
 use streamfold_model::{HomeRegions, RegionName};
 
-/// Why a server gets no new request.
+/// Reason for which a server gets no new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ServerExclusion {
-    /// It is leaving.
+    /// The server is draining.
     Leaving,
     /// The operator has evacuated its failure domain.
     Evacuated,
-    /// Nothing is heard from its failure domain.
+    /// Its failure domain is unreachable.
     Unreachable,
-    /// It is cold, and this node has made the calls that are its part.
+    /// The server is cold, and this node has used up its quota of calls.
     ColdLimit,
-    /// It is in a region where the route's requests must not be served.
+    /// The server is in a region where requests of the route must not be served.
     OutsideHomes,
 }
 
@@ -36,34 +36,34 @@
     }
 }
 
-/// How a server stands to new requests.
+/// State of a server that decides whether it is excluded.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerConditions<'a> {
-    /// Whether it is leaving.
+    /// Whether the server is draining.
     pub is_leaving: bool,
     /// Whether its failure domain is evacuated.
     pub is_evacuated: bool,
-    /// Whether its failure domain is taken for dark.
+    /// Whether its failure domain counts as unreachable.
     pub is_unreachable: bool,
-    /// Whether it is cold and this node may make no call to it now.
+    /// Whether the server is cold and this node has used up its quota of calls.
     pub is_cold_limit_reached: bool,
-    /// Its region, if that is known.
+    /// Its region, if known.
     pub region: Option<&'a RegionName>,
 }
 
-/// What keeps requests with these homes from a server, if anything does.
-pub fn find_exclusion(homes: &HomeRegions, standing: ServerConditions<'_>) -> Option<ServerExclusion> {
-    if standing.is_leaving {
+/// The first reason that excludes a server from requests with these home regions, if any.
+pub fn find_exclusion(homes: &HomeRegions, conditions: ServerConditions<'_>) -> Option<ServerExclusion> {
+    if conditions.is_leaving {
         return Some(ServerExclusion::Leaving);
     }
-    if standing.is_evacuated {
+    if conditions.is_evacuated {
         return Some(ServerExclusion::Evacuated);
     }
-    if !homes.allow(standing.region) {
+    if !homes.allow(conditions.region) {
         return Some(ServerExclusion::OutsideHomes);
     }
-    if standing.is_unreachable {
+    if conditions.is_unreachable {
         return Some(ServerExclusion::Unreachable);
     }
-    standing.is_cold_limit_reached.then_some(ServerExclusion::ColdLimit)
+    conditions.is_cold_limit_reached.then_some(ServerExclusion::ColdLimit)
 }
--- a/crates/policy/tests/server_bound.rs
+++ b/crates/policy/tests/server_bound.rs
@@ -1,40 +1,42 @@
-//! Two nodes that send one request, each by its own view: together they keep the bound.
+//! Checks that two nodes that send one request, each by its own server list, keep the bound together.
 
 use std::collections::BTreeSet;
 
 use quickcheck::quickcheck;
 use streamfold_policy::server_bound::SendPermission;
 
-/// Sends to the servers of `wishes` as far as the rights allow; those sent to.
-fn send(rights: &SendPermission<u8>, wishes: &[u8], most: usize) -> BTreeSet<u8> {
+/// Sends to the servers of `candidates` as far as the permission allows. Returns the servers sent to.
+fn send(permission: &SendPermission<u8>, candidates: &[u8], max_servers: usize) -> BTreeSet<u8> {
     let mut sent = BTreeSet::new();
-    for wish in wishes {
-        if rights.allow(wish, sent.iter(), most) {
-            sent.insert(*wish);
+    for candidate in candidates {
+        if permission.allow(candidate, sent.iter(), max_servers) {
+            sent.insert(*candidate);
         }
     }
     sent
 }
 
 quickcheck! {
-    fn both_nodes_together_keep_the_bound(reserved: u8, asked: Vec<u8>, asking: Vec<u8>, most: u8) -> bool {
-        let most = usize::from(most % 5);
-        let there = send(&SendPermission::Delegated { reserved: Some(reserved) }, &asked, most);
-        let here = send(&SendPermission::Reserved(reserved), &asking, most);
-        there.union(&here).count() <= most
+    fn both_nodes_together_keep_the_bound(
+        reserved: u8, delegate: Vec<u8>, delegating: Vec<u8>, max_servers: u8
+    ) -> bool {
+        let max_servers = usize::from(max_servers % 5);
+        let by_delegate = send(&SendPermission::Delegated { reserved: Some(reserved) }, &delegate, max_servers);
+        let by_delegating = send(&SendPermission::Reserved(reserved), &delegating, max_servers);
+        by_delegate.union(&by_delegating).count() <= max_servers
     }
 
-    fn a_node_alone_uses_the_whole_bound(wishes: Vec<u8>, most: u8) -> bool {
-        let most = usize::from(most % 5);
-        let distinct: BTreeSet<u8> = wishes.iter().copied().collect();
-        send(&SendPermission::Any, &wishes, most).len() == distinct.len().min(most)
+    fn a_node_alone_uses_the_whole_bound(candidates: Vec<u8>, max_servers: u8) -> bool {
+        let max_servers = usize::from(max_servers % 5);
+        let distinct: BTreeSet<u8> = candidates.iter().copied().collect();
+        send(&SendPermission::Any, &candidates, max_servers).len() == distinct.len().min(max_servers)
     }
 }
 
 #[test]
-fn the_asked_node_uses_the_whole_bound_where_the_kept_server_is_among_its_own() {
-    let rights = SendPermission::Delegated { reserved: Some(1) };
-    assert_eq!(send(&rights, &[1, 2, 3], 2), BTreeSet::from([1, 2]));
-    assert_eq!(send(&rights, &[2, 3, 1], 2), BTreeSet::from([1, 2]));
-    assert_eq!(send(&rights, &[2, 3], 2), BTreeSet::from([2]), "a place is kept");
+fn the_delegate_uses_the_whole_bound_if_the_reserved_server_is_among_its_own() {
+    let permission = SendPermission::Delegated { reserved: Some(1) };
+    assert_eq!(send(&permission, &[1, 2, 3], 2), BTreeSet::from([1, 2]));
+    assert_eq!(send(&permission, &[2, 3, 1], 2), BTreeSet::from([1, 2]));
+    assert_eq!(send(&permission, &[2, 3], 2), BTreeSet::from([2]), "one server is set aside for the reserved one");
 }
--- a/crates/policy/tests/server_exclusion.rs
+++ b/crates/policy/tests/server_exclusion.rs
@@ -1,4 +1,4 @@
-//! Which servers a request may be sent to at all.
+//! Checks which conditions exclude a server from requests.
 
 use streamfold_model::{HomeRegions, RegionName};
 use streamfold_policy::server_exclusion::{ServerConditions, find_exclusion};
@@ -8,27 +8,30 @@
 }
 
 #[test]
-fn each_bar_keeps_a_server_from_requests() {
+fn each_condition_excludes_a_server() {
     let here = region("here");
     let scopes = [
         ("everywhere", HomeRegions::listed(Vec::new())),
         ("here", HomeRegions::listed(vec![region("there"), region("here")])),
         ("there", HomeRegions::listed(vec![region("there")])),
     ];
-    let mut seen = Vec::new();
+    let mut lines = Vec::new();
     for (name, homes) in &scopes {
         for bits in 0..16 {
-            let [is_leaving, is_evacuated, is_unreachable, is_cold_limit_reached] = [1, 2, 4, 8].map(|bit| bits & bit != 0);
+            let [is_leaving, is_evacuated, is_unreachable, is_cold_limit_reached] =
+                [1, 2, 4, 8].map(|bit| bits & bit != 0);
             for region in [None, Some(&here)] {
-                let bar =
-                    find_exclusion(homes, ServerConditions { is_leaving, is_evacuated, is_unreachable, is_cold_limit_reached, region });
-                let bar = bar.map_or("none".to_owned(), |bar| bar.to_string());
+                let exclusion = find_exclusion(
+                    homes,
+                    ServerConditions { is_leaving, is_evacuated, is_unreachable, is_cold_limit_reached, region },
+                );
+                let exclusion = exclusion.map_or("none".to_owned(), |exclusion| exclusion.to_string());
                 let region = region.map_or("unknown", |_| "here");
-                seen.push(format!(
-                    "{name}, region {region}, leaving {is_leaving}, evacuated {is_evacuated}, unreachable {is_unreachable}, cold {is_cold_limit_reached}: {bar}"
+                lines.push(format!(
+                    "{name}, region {region}, leaving {is_leaving}, evacuated {is_evacuated}, unreachable {is_unreachable}, cold {is_cold_limit_reached}: {exclusion}"
                 ));
             }
         }
     }
-    insta::assert_snapshot!(seen.join("\n"));
+    insta::assert_snapshot!(lines.join("\n"));
 }
