--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -255,10 +255,10 @@
     };
     let mut refused = 0;
     for _ in 0..200 {
-        refused += usize::from(matches!(gate.admit(Moment(1), &ask("greedy"), "greedy"), Admission::Refused(_)));
+        refused += usize::from(matches!(gate.admit(Moment(1), &request("greedy"), "greedy"), Admission::Refused(_)));
     }
     assert!(refused > 0 && gate.waiting() > 0);
-    assert!(matches!(gate.admit(Moment(1), &ask("modest"), "modest"), Admission::Displaced(_, "greedy")));
+    assert!(matches!(gate.admit(Moment(1), &request("modest"), "modest"), Admission::Displaced(_, "greedy")));
     let caller = "greedy".parse().expect("a name");
     let started = gate.finish(Moment(2), &caller, Duration::from_millis(1), WorkReport::default());
     assert_eq!(started[0].1, "modest", "the caller with the fewest running is next");
