--- a/crates/router/src/attempt_context.rs
+++ b/crates/router/src/attempt_context.rs
@@ -198,7 +198,7 @@
         }
         match right {
             CallPermission::AsCanary => self.canary.note_sent(self.now(), &server),
-            _ => self.canary.note_free(),
+            _ => self.canary.note_unrestricted(),
         }
         attempts.sent += 1;
         let mark = attempts.note_start(server.run());
@@ -245,12 +245,12 @@
 
     /// How what the request asks for is treated now.
     fn standing(&self) -> ContentStatus {
-        self.router.cluster.quarantine.standing(self.now(), self.request.suspect.content)
+        self.router.cluster.quarantine.status(self.now(), self.request.suspect.content)
     }
 
     /// Whether a call may be sent, by what is known of what the request asks for.
     fn call_right(&self) -> CallPermission {
-        self.canary.right(self.now(), self.standing(), self.route.target_latency.max(MIN_CANARY_PATIENCE))
+        self.canary.permission(self.now(), self.standing(), self.route.target_latency.max(MIN_CANARY_PATIENCE))
     }
 
     /// What becomes of the request's calls under way, by what is known of what it asks for.
@@ -260,7 +260,7 @@
             return RequestVerdict::Continue;
         }
         let usual = self.times.typical(Distance::Far, self.route.target_latency);
-        self.canary.fate(standing, self.now().since(self.request.started), usual)
+        self.canary.verdict(standing, self.now().since(self.request.started), usual)
     }
 
     /// Whether the request may send any number of calls at once.
@@ -270,7 +270,7 @@
 
     /// Notes how a call ended, for what is known of what the request asks for.
     pub(crate) fn note_ended(&self, ended: &EndedCall) {
-        self.canary.note_end(&self.router, self.request.suspect.content, ended);
+        self.canary.note_outcome(&self.router, self.request.suspect.content, ended);
         if ended.result.as_ref().is_ok_and(|reply| reply.proof.is_some()) {
             quarantine::note_answer(&self.router, self.request.suspect.content, &ended.server);
         }
--- a/crates/router/src/call.rs
+++ b/crates/router/src/call.rs
@@ -185,7 +185,7 @@
     let response = leased.connection.exchange(built, MAX_ANSWER_LEN).await.map_err(|error| match error {
         ExchangeError::NotSent => CallFailure::NotSent,
         ExchangeError::ConnectionLost => {
-            crash_check::note_lost(router, server);
+            crash_check::check_after_loss(router, server);
             CallFailure::ConnectionLost
         }
         ExchangeError::Lost => CallFailure::Unknown,
--- a/crates/router/src/canary.rs
+++ b/crates/router/src/canary.rs
@@ -51,7 +51,7 @@
     }
 
     /// Whether a call may be sent; `patience` is how long the first one may take.
-    pub fn right(&self, now: Moment, standing: ContentStatus, patience: Duration) -> CallPermission {
+    pub fn permission(&self, now: Moment, standing: ContentStatus, patience: Duration) -> CallPermission {
         let mut state = self.state();
         let CanaryState { record, lost } = &mut *state;
         lost.retain(|call| {
@@ -70,7 +70,7 @@
     }
 
     /// What becomes of the calls under way of a request that was begun `age` ago, where calls take `usual`.
-    pub fn fate(&self, standing: ContentStatus, age: Duration, usual: Duration) -> RequestVerdict {
+    pub fn verdict(&self, standing: ContentStatus, age: Duration, usual: Duration) -> RequestVerdict {
         self.state().record.verdict(standing, age, usual)
     }
 
@@ -85,7 +85,7 @@
     }
 
     /// Notes that a call is sent while nothing speaks against the request.
-    pub fn note_free(&self) {
+    pub fn note_unrestricted(&self) {
         self.state().record.note_unrestricted();
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// Notes how a call of the request ended.
-    pub fn note_end(&self, router: &Arc<Router>, content: ContentId, ended: &EndedCall) {
+    pub fn note_outcome(&self, router: &Arc<Router>, content: ContentId, ended: &EndedCall) {
         let mut state = self.state();
         let CanaryState { record, lost } = &mut *state;
         match &ended.result {
--- a/crates/router/src/cluster_parts.rs
+++ b/crates/router/src/cluster_parts.rs
@@ -21,7 +21,7 @@
 use crate::contention::find_contended;
 use crate::domain::DomainState;
 use crate::evacuation::EvacuationList;
-use crate::lenders::choose_lenders;
+use crate::granters::choose_granters;
 use crate::peers::PeerNode;
 use crate::server::{Server, ServerShared};
 use crate::spell_book::SpellBook;
@@ -237,7 +237,7 @@
         {
             owners.entry(entry.domain.clone()).or_default().push(entry);
         }
-        owners.into_iter().map(|(domain, nodes)| (domain, choose_lenders(&nodes))).collect()
+        owners.into_iter().map(|(domain, nodes)| (domain, choose_granters(&nodes))).collect()
     }
 
     /// Whether a node is an owner in its failure domain; one that is not known counts as none.
@@ -276,7 +276,7 @@
             turns: self.turns.clone(),
             nodes: self.count_nodes(),
             is_owner: self.is_owner(&place.node),
-            lenders: self.find_lenders(),
+            granters: self.find_lenders(),
             near_owners: self.owners_of(&place.domain),
             peers: self.peers.values().cloned().collect(),
         }
--- a/crates/router/src/cluster_view.rs
+++ b/crates/router/src/cluster_view.rs
@@ -140,7 +140,7 @@
     /// Nodes that this one keeps links to.
     pub peers: Vec<Arc<PeerNode>>,
     /// The nodes of each failure domain that give credit; none where no team is limited.
-    pub(crate) lenders: BTreeMap<FailureDomain, Vec<NodeEntry>>,
+    pub(crate) granters: BTreeMap<FailureDomain, Vec<NodeEntry>>,
     /// The owners of this node's failure domain by name, also those that were there until lately.
     pub near_owners: Vec<NodeId>,
 }
--- a/crates/router/src/crash_check.rs
+++ b/crates/router/src/crash_check.rs
@@ -18,7 +18,7 @@
 const CHECK_WITHIN: Duration = Duration::from_millis(300);
 
 /// Checks a server that lost a connection with a call on it.
-pub fn note_lost(router: &Arc<Router>, server: &Arc<Server>) {
+pub fn check_after_loss(router: &Arc<Router>, server: &Arc<Server>) {
     if server.is_crashed() {
         return;
     }
--- a/crates/router/src/delegate.rs
+++ b/crates/router/src/delegate.rs
@@ -19,7 +19,7 @@
 use crate::attempt_context::AttemptContext;
 use crate::batch::{BatchMode, BatchShard, ShardBatch};
 use crate::gather::ShardSlot;
-use crate::peers::{BatchNews, PeerNode, PendingBatch};
+use crate::peers::{BatchEvent, PeerNode, PendingBatch};
 
 /// Fewer shards than this are asked for directly: a second node would not save anything.
 const MIN_BATCH: usize = 2;
@@ -39,7 +39,7 @@
 pub const ASKING_SHARE: f64 = 0.3;
 
 /// A batch at another node; resolves to its number and what happened.
-pub type PendingBatchNews = BoxFuture<'static, (usize, PendingBatch, BatchNews)>;
+pub type PendingBatchNews = BoxFuture<'static, (usize, PendingBatch, BatchEvent)>;
 
 /// The batches of one request at other nodes.
 pub type PendingBatches = FuturesUnordered<PendingBatchNews>;
@@ -92,7 +92,7 @@
 /// Waits for the next frame of a batch.
 pub fn read_on(number: usize, pending: PendingBatch) -> PendingBatchNews {
     async move {
-        let (pending, news) = pending.next().await;
+        let (pending, news) = pending.next_frame().await;
         (number, pending, news)
     }
     .boxed()
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -253,7 +253,7 @@
     entry::check(context)?;
     let router = &context.router;
     let content = context.request.suspect.content;
-    let left = match router.cluster.quarantine.standing(context.now(), content) {
+    let left = match router.cluster.quarantine.status(context.now(), content) {
         ContentStatus::Clear | ContentStatus::Suspect => return take_credit(context).await,
         ContentStatus::TrialDue if quarantine::claim_trial(router, content).await => {
             context.canary = CanaryCall::trial();
--- a/crates/router/src/gather.rs
+++ b/crates/router/src/gather.rs
@@ -250,7 +250,7 @@
         );
         self.cancel_calls();
         if fate == RequestVerdict::AtFault {
-            quarantine_news::blame(&self.context.router, self.context.request.suspect).await;
+            quarantine_news::quarantine_content(&self.context.router, self.context.request.suspect).await;
         }
     }
 
--- a/crates/router/src/gather_batch.rs
+++ b/crates/router/src/gather_batch.rs
@@ -11,7 +11,7 @@
 use crate::fold::ShardPart;
 use crate::gather::GatherRound;
 use crate::pace_report::take_paces;
-use crate::peers::{BatchNews, PendingBatch};
+use crate::peers::{BatchEvent, PendingBatch};
 use crate::quarantine;
 
 impl GatherRound<'_> {
@@ -28,7 +28,7 @@
     }
 
     fn send_planned(&mut self, batch: PlannedBatch) {
-        self.context.canary.note_free();
+        self.context.canary.note_unrestricted();
         let PlannedBatch { peer, positions } = batch;
         let domain = peer.entry.domain.clone();
         let number = self.batches.len();
@@ -109,30 +109,30 @@
         }
     }
 
-    pub(crate) fn note_batch(&mut self, number: usize, news: BatchNews) {
+    pub(crate) fn note_batch(&mut self, number: usize, news: BatchEvent) {
         match self.batches[number].mode {
             BatchMode::Folded => self.note_folded(number, news),
             BatchMode::Each { floor } => self.note_hedges(number, floor, news),
         }
     }
 
-    fn note_folded(&mut self, number: usize, news: BatchNews) {
+    fn note_folded(&mut self, number: usize, news: BatchEvent) {
         match news {
-            BatchNews::Frame(BatchFrame::Working) => {
+            BatchEvent::Frame(BatchFrame::Working) => {
                 let batch = &mut self.batches[number];
                 batch.takeover_at = Some(batch.reply_by);
             }
-            BatchNews::Frame(BatchFrame::Partial(reply)) => {
+            BatchEvent::Frame(BatchFrame::Partial(reply)) => {
                 self.batches[number].takeover_at = None;
                 self.take_reply(number, reply);
             }
-            BatchNews::Frame(BatchFrame::Done(reply)) => {
+            BatchEvent::Frame(BatchFrame::Done(reply)) => {
                 self.batches[number].is_open = false;
                 let missing = reply.missing.clone();
                 self.take_reply(number, reply);
                 self.start_missing(number, &missing);
             }
-            BatchNews::Failed(error) => {
+            BatchEvent::Failed(error) => {
                 self.batches[number].is_open = false;
                 let is_not_sent = error.is_not_sent();
                 tracing::info!(
@@ -179,7 +179,7 @@
         self.context.router.note_version(reply.version);
         let (domain, node) = (&batch.peer.entry.domain, &batch.peer.entry.node);
         self.context.router.entry.note_report(self.context.now(), domain, node, &reply.report);
-        quarantine::note_told(&self.context.router, self.context.request.suspect, &reply.crashed);
+        quarantine::note_reported(&self.context.router, self.context.request.suspect, &reply.crashed);
         let services = batch.positions.iter().map(|position| &self.slots[*position].attempts.service);
         let domain = &batch.peer.entry.domain;
         take_paces(self.context.now(), &self.context.view, domain, services, &reply.report.paces);
--- a/crates/router/src/gather_hedge.rs
+++ b/crates/router/src/gather_hedge.rs
@@ -10,7 +10,7 @@
 use crate::fold::{Record, ShardPart, find_last};
 use crate::gather::GatherRound;
 use crate::hedge::FarHedge;
-use crate::peers::BatchNews;
+use crate::peers::BatchEvent;
 
 impl GatherRound<'_> {
     /// Sends hedges to the nodes that make them, one message for each failure domain.
@@ -39,11 +39,11 @@
     }
 
     /// Notes what happened to hedges that another node makes.
-    pub(crate) fn note_hedges(&mut self, number: usize, floor: Option<Record>, news: BatchNews) {
+    pub(crate) fn note_hedges(&mut self, number: usize, floor: Option<Record>, news: BatchEvent) {
         match news {
-            BatchNews::Frame(BatchFrame::Working) => {}
-            BatchNews::Frame(BatchFrame::Partial(reply)) => self.take_each(number, floor, &reply),
-            BatchNews::Frame(BatchFrame::Done(reply)) => {
+            BatchEvent::Frame(BatchFrame::Working) => {}
+            BatchEvent::Frame(BatchFrame::Partial(reply)) => self.take_each(number, floor, &reply),
+            BatchEvent::Frame(BatchFrame::Done(reply)) => {
                 self.batches[number].is_open = false;
                 self.take_each(number, floor, &reply);
                 let positions = &self.batches[number].positions;
@@ -52,7 +52,7 @@
                     not_made.filter_map(|shard| positions.get(shard.position as usize).copied()).collect();
                 self.end_hedges(number, &not_made);
             }
-            BatchNews::Failed(error) => {
+            BatchEvent::Failed(error) => {
                 self.batches[number].is_open = false;
                 tracing::info!(
                     event = "hedges_failed",
--- a/crates/router/src/peer_service.rs
+++ b/crates/router/src/peer_service.rs
@@ -23,7 +23,7 @@
 use crate::delegate::ASKING_SHARE;
 use crate::knowledge::{self, KnowledgeRequest};
 use crate::peer_gather::PeerGather;
-use crate::quarantine_news::{self, PATH_QUARANTINE, QuarantineNews};
+use crate::quarantine_news::{self, PATH_QUARANTINE, QuarantineUpdate};
 use crate::relay::{PATH_RELAY, RelayRequest};
 use crate::relay_service;
 use crate::request::{CallerRequest, RequestArrival};
@@ -181,7 +181,7 @@
     body: RecvStream,
     respond: &mut SendResponse<Bytes>,
 ) -> Result<(), PeerError> {
-    let news: QuarantineNews = read_message(body, QUARANTINE_LIMIT).await?;
+    let news: QuarantineUpdate = read_message(body, QUARANTINE_LIMIT).await?;
     let known = quarantine_news::take(router, news).await;
     reply(respond, &known).await
 }
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -52,7 +52,7 @@
     }
 
     /// How a request with a content is treated now.
-    pub fn standing(&self, now: Moment, content: ContentId) -> ContentStatus {
+    pub fn status(&self, now: Moment, content: ContentId) -> ContentStatus {
         if self.is_used() { self.book().status(now, content) } else { ContentStatus::Clear }
     }
 
@@ -74,14 +74,14 @@
     }
 
     /// Holds a content off that was found to end servers; what is to be told to all nodes, if that is news.
-    pub(crate) fn blame(&self, now: Moment, content: ContentId) -> Option<CrashEntry> {
+    pub(crate) fn quarantine_content(&self, now: Moment, content: ContentId) -> Option<CrashEntry> {
         let entry = self.change(|book| book.quarantine(now, content))?;
         tracing::warn!(event = "content_blamed", %content, crashed = join(&entry.crashed));
         Some(entry)
     }
 
     /// Takes that another node found a content to end servers; whether that is news.
-    pub(crate) fn put_blamed(&self, now: Moment, entry: &CrashEntry) -> bool {
+    pub(crate) fn put_quarantined(&self, now: Moment, entry: &CrashEntry) -> bool {
         let is_news = self.change(|book| book.put_quarantined(now, entry));
         if is_news {
             let crashed = entry.crashed.len();
@@ -143,7 +143,7 @@
 }
 
 /// Notes servers that ended under a content as another node has told.
-pub(crate) fn note_told(router: &Arc<Router>, suspect: CrashSuspect, servers: &[ServerRun]) {
+pub(crate) fn note_reported(router: &Arc<Router>, suspect: CrashSuspect, servers: &[ServerRun]) {
     if servers.is_empty() {
         return;
     }
--- a/crates/router/src/quarantine_news.rs
+++ b/crates/router/src/quarantine_news.rs
@@ -23,7 +23,7 @@
 
 /// A content that is held off from now on.
 #[derive(Debug, Clone, Encode, Decode)]
-pub struct QuarantineNews {
+pub struct QuarantineUpdate {
     /// The content and the servers that ended under it.
     pub entry: CrashEntry,
     /// The failure domain whose nodes are to be told by those that hear of it: a node has links to few of its own.
@@ -36,9 +36,9 @@
 
 /// Holds a content off that was found to end servers, and tells all nodes; returns when those in reach know, or after a
 /// while.
-pub(crate) async fn blame(router: &Arc<Router>, suspect: CrashSuspect) {
+pub(crate) async fn quarantine_content(router: &Arc<Router>, suspect: CrashSuspect) {
     let now = router.clock.now();
-    let Some(entry) = router.cluster.quarantine.blame(now, suspect.content) else { return };
+    let Some(entry) = router.cluster.quarantine.quarantine_content(now, suspect.content) else { return };
     tokio::spawn(quarantine::share(router.clone(), entry.clone()));
     tell_all(router, entry).await;
 }
@@ -46,22 +46,22 @@
 /// Tells all nodes in reach that a content is held off, or tried again; returns when they know, or after a while.
 pub(crate) async fn tell_all(router: &Router, entry: CrashEntry) {
     let pass_to = Some(router.cluster.place().domain.clone());
-    tell_each(router, &QuarantineNews { entry, pass_to }, |_| true).await;
+    tell_each(router, &QuarantineUpdate { entry, pass_to }, |_| true).await;
 }
 
 /// Takes what another node has found out, and tells on whom it could not reach.
-pub(crate) async fn take(router: &Arc<Router>, news: QuarantineNews) -> QuarantineAck {
-    let QuarantineNews { entry, pass_to } = news;
-    let is_news = router.cluster.quarantine.put_blamed(router.clock.now(), &entry);
+pub(crate) async fn take(router: &Arc<Router>, news: QuarantineUpdate) -> QuarantineAck {
+    let QuarantineUpdate { entry, pass_to } = news;
+    let is_news = router.cluster.quarantine.put_quarantined(router.clock.now(), &entry);
     if let (true, Some(domain)) = (is_news, pass_to) {
-        tell_each(router, &QuarantineNews { entry, pass_to: None }, |peer| peer.entry.domain == domain).await;
+        tell_each(router, &QuarantineUpdate { entry, pass_to: None }, |peer| peer.entry.domain == domain).await;
     }
     QuarantineAck
 }
 
 /// Tells the peers that are meant, and waits a while for them to know. One that no link is open to yet, as after a start, is
 /// connected to for it.
-async fn tell_each(router: &Router, news: &QuarantineNews, is_meant: impl Fn(&PeerNode) -> bool) {
+async fn tell_each(router: &Router, news: &QuarantineUpdate, is_meant: impl Fn(&PeerNode) -> bool) {
     let view = router.cluster.view();
     let meant = view.peers.iter().filter(|peer| is_meant(peer));
     let told = meant.map(|peer| tokio::spawn(tell(peer.clone(), news.clone())));
@@ -71,7 +71,7 @@
     }
 }
 
-async fn tell(peer: Arc<PeerNode>, news: QuarantineNews) {
+async fn tell(peer: Arc<PeerNode>, news: QuarantineUpdate) {
     let told = peer.link.call::<_, QuarantineAck>(PATH_QUARANTINE, &news, TELL_TIMEOUT).await;
     if let Err(error) = told {
         tracing::info!(event = "quarantine_not_told", peer = %peer.entry.node, content = %news.entry.content, %error);
--- a/crates/router/src/usage.rs
+++ b/crates/router/src/usage.rs
@@ -15,7 +15,9 @@
 
 use crate::answer::RefusalKind;
 use crate::cluster_view::ClusterView;
-use crate::lenders::{LenderMap, credit_domains, find_pool, is_dealer, is_pool, known_domains, rank_lenders};
+use crate::granters::{
+    GranterMap, credit_domains, find_pool, is_domain_granter, is_pool, known_domains, rank_granters,
+};
 use crate::request::CallerRequest;
 use crate::router::Router;
 
@@ -37,7 +39,7 @@
 
 /// What a node asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub enum CreditAsk {
+pub enum CreditAction {
     /// One request, of the node that deals out in the failure domain.
     Take,
     /// Gives one back that reached no server.
@@ -52,7 +54,7 @@
     /// The team.
     pub team: TeamName,
     /// What for.
-    pub ask: CreditAsk,
+    pub ask: CreditAction,
     /// The caller that is refused if there is none, where one waits for it.
     pub caller: Option<ReturningCaller>,
 }
@@ -68,7 +70,7 @@
 
 impl CreditRequest {
     /// A request that no caller waits for.
-    fn between_nodes(team: TeamName, ask: CreditAsk) -> Self {
+    fn between_nodes(team: TeamName, ask: CreditAction) -> Self {
         Self { team, ask, caller: None }
     }
 
@@ -135,13 +137,13 @@
 pub struct UsageLedger {
     domain: Mutex<DomainCredits>,
     pools: Mutex<CreditPools>,
-    links: Mutex<HashMap<NodeId, LenderLink>>,
+    links: Mutex<HashMap<NodeId, GranterLink>>,
     /// The nodes that gave credit when this one was last asked, once it was.
-    lenders: Mutex<Option<LenderMap>>,
+    lenders: Mutex<Option<GranterMap>>,
 }
 
 /// The link to a node that gives credit.
-struct LenderLink {
+struct GranterLink {
     link: Arc<PeerLink>,
     avoided_until: Moment,
 }
@@ -162,7 +164,7 @@
             links.retain(|_, known| known.link.is_open());
         }
         let link = PeerLink::new(entry.peer_address);
-        links.insert(entry.node.clone(), LenderLink { link: link.clone(), avoided_until: now });
+        links.insert(entry.node.clone(), GranterLink { link: link.clone(), avoided_until: now });
         Some(link)
     }
 
@@ -178,7 +180,7 @@
     UsageAllowance {
         requests: usage.map_or(0.0, |usage| usage.allowance),
         window: usage.map_or(ASSUMED_WINDOW, |usage| usage.window.0),
-        domains: credit_domains(router, &known_domains(&view.lenders)).count(),
+        domains: credit_domains(router, &known_domains(&view.granters)).count(),
     }
 }
 
@@ -226,9 +228,9 @@
     let now = router.clock.now();
     let usable = usable_wait(request.deadline.since(now), request.started.plus(target).since(now));
     let caller = ReturningCaller { content: request.suspect.content, usable_us: usable.as_micros() as u64 };
-    let ask = CreditRequest { team: team.name.clone(), ask: CreditAsk::Take, caller: Some(caller) };
-    let lenders = view.lenders.get(&router.settings.failure_domain).map_or(&[][..], Vec::as_slice);
-    for entry in rank_lenders(lenders, &team.name, MAX_ASKED) {
+    let ask = CreditRequest { team: team.name.clone(), ask: CreditAction::Take, caller: Some(caller) };
+    let lenders = view.granters.get(&router.settings.failure_domain).map_or(&[][..], Vec::as_slice);
+    for entry in rank_granters(lenders, &team.name, MAX_ASKED) {
         let reply = if entry.node == router.settings.node {
             Some(deal(router, view, &ask).await)
         } else {
@@ -266,12 +268,12 @@
     }
     let (router, view, team) = (router.clone(), view.clone(), team.name.clone());
     tokio::spawn(async move {
-        let lenders = view.lenders.get(&router.settings.failure_domain).map_or(&[][..], Vec::as_slice);
-        let Some(entry) = rank_lenders(lenders, &team, 1).first().copied() else { return };
+        let lenders = view.granters.get(&router.settings.failure_domain).map_or(&[][..], Vec::as_slice);
+        let Some(entry) = rank_granters(lenders, &team, 1).first().copied() else { return };
         if entry.node == router.settings.node {
             return lock(&router.usage.domain).give_back(&team);
         }
-        let ask = CreditRequest::between_nodes(team, CreditAsk::GiveBack);
+        let ask = CreditRequest::between_nodes(team, CreditAction::GiveBack);
         // What is not given back is lost to the team, and a line says so.
         call(&router, entry, &ask, DEAL_WITHIN).await;
     });
@@ -288,12 +290,12 @@
         return None;
     }
     let reply = match request.ask {
-        CreditAsk::Take => deal(router, &view, request).await,
-        CreditAsk::GiveBack => {
+        CreditAction::Take => deal(router, &view, request).await,
+        CreditAction::GiveBack => {
             lock(&router.usage.domain).give_back(&request.team);
             CreditReply::granted(0)
         }
-        CreditAsk::Lend(wanted) => lend(router, &view, &request.team, wanted),
+        CreditAction::Lend(wanted) => lend(router, &view, &request.team, wanted),
     };
     Some(reply)
 }
@@ -301,18 +303,18 @@
 /// Gives up credit that other nodes give from now on, or gave until now, by this node's view.
 fn note_lenders(router: &Router, view: &ClusterView) {
     let mut known = lock(&router.usage.lenders);
-    if known.as_ref() == Some(&view.lenders) {
+    if known.as_ref() == Some(&view.granters) {
         return;
     }
-    let Some(before) = known.replace(view.lenders.clone()) else { return };
+    let Some(before) = known.replace(view.granters.clone()) else { return };
     let now = router.clock.now();
-    let both = [&before, &view.lenders];
-    let deals = |team: &TeamName| both.iter().all(|lenders| is_dealer(router, lenders, team));
+    let both = [&before, &view.granters];
+    let deals = |team: &TeamName| both.iter().all(|lenders| is_domain_granter(router, lenders, team));
     let lends = |team: &TeamName| both.iter().all(|lenders| is_pool(router, lenders, team));
     lock(&router.usage.domain).change_granters(now, deals);
     lock(&router.usage.pools).change_granters(now, lends);
-    let domains = view.lenders.len();
-    tracing::info!(event = "lenders_changed", domains, lenders = view.lenders.values().map(Vec::len).sum::<usize>());
+    let domains = view.granters.len();
+    tracing::info!(event = "lenders_changed", domains, lenders = view.granters.values().map(Vec::len).sum::<usize>());
 }
 
 /// Whether callers of one team that are refused return in turn.
@@ -327,7 +329,7 @@
     // By the routes in force here there is no limit.
     let Some(limit) = find_limit(view, team) else { return CreditReply::granted(1) };
     note_lenders(router, view);
-    if !is_dealer(router, &view.lenders, team) {
+    if !is_domain_granter(router, &view.granters, team) {
         lock(&router.usage.domain).note_failover(router.clock.now(), team);
     }
     let allowance = allowance(router, view);
@@ -369,11 +371,11 @@
 }
 
 async fn ask_pool(router: &Router, view: &ClusterView, team: &TeamName, wanted: u32) -> Option<PoolGrant> {
-    let entry = find_pool(router, &view.lenders, team)?;
+    let entry = find_pool(router, &view.granters, team)?;
     let reply = if entry.node == router.settings.node {
         lend(router, view, team, wanted)
     } else {
-        let ask = CreditRequest::between_nodes(team.clone(), CreditAsk::Lend(wanted));
+        let ask = CreditRequest::between_nodes(team.clone(), CreditAction::Lend(wanted));
         call(router, entry, &ask, LEND_WITHIN).await?
     };
     Some(PoolGrant { requests: reply.requests, wait: Duration::from_micros(reply.wait_us) })
@@ -384,7 +386,7 @@
     let Some(limit) = find_limit(view, team) else { return CreditReply::granted(wanted) };
     note_lenders(router, view);
     let (now, mut pools) = (router.clock.now(), lock(&router.usage.pools));
-    if !is_pool(router, &view.lenders, team) {
+    if !is_pool(router, &view.granters, team) {
         pools.note_failover(now, team);
     }
     let loan = pools.grant(now, team, limit, allowance(router, view), wanted);
--- a/crates/router/tests/credit_before_routes.rs
+++ b/crates/router/tests/credit_before_routes.rs
@@ -10,7 +10,7 @@
 use streamfold_link::{PeerError, PeerLink};
 use streamfold_router::border::{FeedChanges, FeedFuture, FeedList, FeedPosition, FeedTopic};
 use streamfold_router::router_start;
-use streamfold_router::usage::{CreditAsk, CreditReply, CreditRequest, PATH_CREDIT};
+use streamfold_router::usage::{CreditAction, CreditReply, CreditRequest, PATH_CREDIT};
 use streamfold_store::StoreError;
 
 /// Longer than an answer takes.
@@ -35,7 +35,7 @@
 }
 
 /// What a node answers to whoever asks for credit of a team.
-async fn ask(link: &Arc<PeerLink>, ask: CreditAsk) -> Result<CreditReply, PeerError> {
+async fn ask(link: &Arc<PeerLink>, ask: CreditAction) -> Result<CreditReply, PeerError> {
     let request = CreditRequest { team: "blue".parse().expect("a name"), ask, caller: None };
     link.call(PATH_CREDIT, &request, WITHIN).await
 }
@@ -48,7 +48,7 @@
     if let Some(version) = version {
         wait_version(&node.router, version).await;
     }
-    for kind in [CreditAsk::Take, CreditAsk::Lend(7)] {
+    for kind in [CreditAction::Take, CreditAction::Lend(7)] {
         let answer = ask(&link, kind).await;
         assert!(matches!(answer, Err(PeerError::BadStatus(503))), "{kind:?}: {answer:?}");
     }
