--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 use streamfold_policy::retry_after::{RefusalReason, choose_retry_after};
 
-use crate::border::CallFormat;
+use crate::interface::CallFormat;
 
 /// An answer to a caller.
 pub type CallerAnswer = Response<Full<Bytes>>;
--- a/crates/router/src/attempt_context.rs
+++ b/crates/router/src/attempt_context.rs
@@ -19,7 +19,7 @@
 use crate::call::{self, EndedCall, SentMark};
 use crate::call_line::CallPlace;
 use crate::canary::CanaryCall;
-use crate::cluster_view::{ClusterView, RouteTimes, Service};
+use crate::cluster_view::{ClusterView, RouteLatencies, Service};
 use crate::hedge::FarHedge;
 use crate::line_choice::{CallRoom, ServerChoice};
 use crate::quarantine;
@@ -69,7 +69,7 @@
     /// Its rank among requests for the same servers.
     pub priority: Priority,
     /// Latencies of the route.
-    pub times: RouteTimes,
+    pub times: RouteLatencies,
     /// How long servers that did not take the request are tried again.
     pub retry_until: Moment,
     /// The part of each request that this node counts for its budget of extra calls.
@@ -238,7 +238,7 @@
     /// What keeps the request from servers of a service, with their number, for the log; `None` where
     /// nothing does.
     pub(crate) fn name_bars(&self, service: &ServiceName) -> Option<String> {
-        let counts = self.view.services.get(service)?.count_bars(self.now(), &self.homes);
+        let counts = self.view.services.get(service)?.count_exclusions(self.now(), &self.homes);
         let named: Vec<String> = counts.iter().map(|(bar, count)| format!("{bar}:{count}")).collect();
         (!named.is_empty()).then(|| named.join(","))
     }
@@ -303,7 +303,7 @@
 
     fn call(&self, position: usize, server: Arc<Server>, mark: SentMark) -> PendingCall {
         let typical = self.times.typical(server.distance, self.route.target_latency);
-        let line = self.view.services.get(&server.service).and_then(Service::line).cloned();
+        let line = self.view.services.get(&server.service).and_then(Service::queue).cloned();
         let running = call::run(self.router.clone(), server, self.request.clone(), self.is_once(), mark, typical);
         let clock = self.router.clock;
         let started = self.now();
--- a/crates/router/src/call.rs
+++ b/crates/router/src/call.rs
@@ -10,9 +10,9 @@
 use streamfold_policy::Moment;
 use streamfold_policy::replica::CallSample;
 
-use crate::border::ReplyHead;
 use crate::crash_check;
 use crate::error::ExchangeError;
+use crate::interface::ReplyHead;
 use crate::request::CallerRequest;
 use crate::router::Router;
 use crate::server::Server;
@@ -188,7 +188,7 @@
             crash_check::note_lost(router, server);
             CallFailure::ConnectionLost
         }
-        ExchangeError::Lost => CallFailure::Unknown,
+        ExchangeError::AnswerLost => CallFailure::Unknown,
     })?;
     server.note_heard(router.clock.now());
     work.note_answered();
@@ -201,7 +201,7 @@
         server.mark_leaving();
     }
     // A connection on which something came that is no answer to its request is not used again.
-    if reply.is_own && !reply.is_closing {
+    if reply.has_matching_id && !reply.is_closing {
         server.put_back(router.clock.now(), leased, reply.keep_alive).await;
     } else {
         drop(leased);
@@ -209,14 +209,14 @@
     if reply.is_not_run {
         return Err(CallFailure::NotRun);
     }
-    if !reply.is_own || reply.is_encoded {
+    if !reply.has_matching_id || reply.is_encoded {
         return Err(CallFailure::Unknown);
     }
     Ok(ServerReply { status: parts.status, headers: parts.headers, body, proof: reply.proof })
 }
 
 fn learn(now: Moment, server: &Server, reply: &ReplyHead) {
-    if let Some(left) = reply.cold_left {
+    if let Some(left) = reply.warmup_left {
         server.state().record_warmup(now, left);
     }
     if let Some(load) = reply.load {
--- a/crates/router/src/cluster.rs
+++ b/crates/router/src/cluster.rs
@@ -11,11 +11,11 @@
 use streamfold_model::{NodeEntry, NodeId, RouteTable, ServerEntry, ServerId, ServerStart, TableVersion};
 use streamfold_policy::Moment;
 
-use crate::border::{FeedChange, FeedItem, FeedTopic, RemovedEntry};
 use crate::cluster_parts::ClusterParts;
 use crate::cluster_place::ClusterPlace;
 use crate::cluster_view::ClusterView;
 use crate::evacuation::EvacuationList;
+use crate::interface::{FeedChange, FeedItem, FeedTopic, RemovedEntry};
 use crate::quarantine::CrashQuarantine;
 use crate::server::Server;
 
@@ -29,7 +29,7 @@
 
 /// Who told this node something of the cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NewsOrigin {
+pub enum UpdateOrigin {
     /// The platform's store.
     Store,
     /// The node of its failure domain that follows the store for it.
@@ -38,7 +38,7 @@
     Peer,
 }
 
-impl fmt::Display for NewsOrigin {
+impl fmt::Display for UpdateOrigin {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Store => "store",
@@ -89,13 +89,13 @@
     fn publish(&self, parts: &ClusterParts) {
         self.generation.fetch_add(1, Ordering::Relaxed);
         let mut view = parts.build_view(&self.place);
-        view.compare_servers(&self.view.load());
-        view.share_out(&self.place.node, self.place.cold_calls);
+        view.mark_comparable(&self.view.load());
+        view.assign_shares(&self.place.node, self.place.cold_calls);
         self.view.store(Arc::new(view));
     }
 
     /// Puts routes in force if they are newer than those in force; whether they were.
-    pub fn offer_table(&self, table: RouteTable, origin: NewsOrigin) -> bool {
+    pub fn offer_table(&self, table: RouteTable, origin: UpdateOrigin) -> bool {
         let mut parts = self.parts();
         let own = parts.table.as_ref().map_or(TableVersion(0), |table| table.version);
         if table.version <= own {
@@ -103,9 +103,9 @@
         }
         tracing::info!(event = "routes_in_force", version = %table.version, before = %own, source = %origin);
         metrics::gauge!("streamfold_routes_version").set(table.version.0 as f64);
-        parts.keep_times(&table);
-        parts.keep_turns(&table);
-        parts.keep_lines(&table, &self.place);
+        parts.keep_latencies(&table);
+        parts.keep_split_selectors(&table);
+        parts.keep_queues(&table, &self.place);
         parts.table = Some(Arc::new(table));
         self.publish(&parts);
         true
@@ -113,7 +113,7 @@
 
     /// Puts a list of evacuated failure domains in force if it is newer than the one in force; whether
     /// it was. Requests under way see it too, since each attempt asks the servers themselves.
-    pub fn offer_evacuations(&self, now: Moment, list: EvacuationList, origin: NewsOrigin) -> bool {
+    pub fn offer_evacuations(&self, now: Moment, list: EvacuationList, origin: UpdateOrigin) -> bool {
         let mut parts = self.parts();
         let before = parts.evacuations.as_ref();
         if before.is_some_and(|before| before.position >= list.position) {
@@ -122,7 +122,7 @@
         if before.map_or(!list.domains.is_empty(), |before| before.domains != list.domains) {
             tracing::info!(
                 event = "evacuations_in_force",
-                failure_domains = list.name_domains(),
+                failure_domains = list.format_domains(),
                 position = list.position.0,
                 source = %origin
             );
@@ -139,7 +139,7 @@
     }
 
     /// Takes changes of a topic.
-    pub fn apply(&self, now: Moment, changes: Vec<FeedChange>, topic: FeedTopic, origin: NewsOrigin) {
+    pub fn apply(&self, now: Moment, changes: Vec<FeedChange>, topic: FeedTopic, origin: UpdateOrigin) {
         let is_first = topic != FeedTopic::Routes && !self.knows_any(topic);
         if is_first && !changes.is_empty() {
             tracing::info!(event = "listed", topic = %topic, entries = changes.len(), source = %origin);
@@ -183,7 +183,7 @@
     }
 
     /// Takes all of a topic: what is not in it any more is gone.
-    pub fn replace(&self, now: Moment, items: Vec<FeedItem>, topic: FeedTopic, origin: NewsOrigin) {
+    pub fn replace(&self, now: Moment, items: Vec<FeedItem>, topic: FeedTopic, origin: UpdateOrigin) {
         let listed: HashSet<String> = items.iter().map(item_name).collect();
         let known: Vec<String> = match topic {
             FeedTopic::Routes | FeedTopic::Evacuations => Vec::new(),
@@ -248,12 +248,12 @@
         true
     }
 
-    fn put_node(&self, entry: NodeEntry, origin: NewsOrigin, is_unnamed: bool) -> bool {
+    fn put_node(&self, entry: NodeEntry, origin: UpdateOrigin, is_unnamed: bool) -> bool {
         let mut parts = self.parts();
         let known = parts.nodes.get(&entry.node);
         // What another node tells may be older than what the store has told.
         let is_older = known.is_some_and(|known| entry.incarnation < known.incarnation);
-        if known == Some(&entry) || (is_older && origin == NewsOrigin::Peer) {
+        if known == Some(&entry) || (is_older && origin == UpdateOrigin::Peer) {
             return false;
         }
         if !is_unnamed {
--- a/crates/router/src/cluster_parts.rs
+++ b/crates/router/src/cluster_parts.rs
@@ -17,7 +17,7 @@
 use crate::call_line::CallLine;
 use crate::call_waits::CallWaits;
 use crate::cluster_place::ClusterPlace;
-use crate::cluster_view::{ClusterView, NodeCount, RouteTimes, Service};
+use crate::cluster_view::{ClusterView, NodeCount, RouteLatencies, Service};
 use crate::contention::find_contended;
 use crate::domain::DomainState;
 use crate::evacuation::EvacuationList;
@@ -40,12 +40,12 @@
     /// Extra calls spent, by service.
     pub(crate) budgets: HashMap<ServiceName, Arc<Mutex<ExtraBudget>>>,
     /// Calls that wait, by service, where calls do.
-    lines: HashMap<ServiceName, Arc<CallLine>>,
+    queues: HashMap<ServiceName, Arc<CallLine>>,
     waits: Arc<CallWaits>,
     /// Services that requests of different priority use.
-    mixed: Arc<HashSet<ServiceName>>,
-    times: HashMap<RouteName, RouteTimes>,
-    turns: HashMap<RouteName, Arc<SplitSelector>>,
+    mixed_priority_services: Arc<HashSet<ServiceName>>,
+    latencies: HashMap<RouteName, RouteLatencies>,
+    split_selectors: HashMap<RouteName, Arc<SplitSelector>>,
     /// How long servers stay slow.
     spells: Arc<SpellBook>,
     /// Failure domains that have, or had, servers or nodes.
@@ -172,34 +172,34 @@
     }
 
     /// Keeps the latencies of routes that are in the new version too.
-    pub(crate) fn keep_times(&mut self, table: &RouteTable) {
-        let mut old = std::mem::take(&mut self.times);
+    pub(crate) fn keep_latencies(&mut self, table: &RouteTable) {
+        let mut old = std::mem::take(&mut self.latencies);
         let mut keep = |name: &RouteName| old.remove(name).unwrap_or_default();
-        self.times = table.routes().iter().map(|route| (route.name.clone(), keep(&route.name))).collect();
+        self.latencies = table.routes().iter().map(|route| (route.name.clone(), keep(&route.name))).collect();
     }
 
     /// Goes on with the turns of splits that are in the new version too.
-    pub(crate) fn keep_turns(&mut self, table: &RouteTable) {
-        let mut old = std::mem::take(&mut self.turns);
+    pub(crate) fn keep_split_selectors(&mut self, table: &RouteTable) {
+        let mut old = std::mem::take(&mut self.split_selectors);
         let mut keep = |name: &RouteName| {
             let known = old.remove(name);
             known.unwrap_or_else(|| Arc::new(SplitSelector::new(rand::random())))
         };
         let is_split = |route: &&Arc<RouteSpec>| matches!(&route.target, RouteTarget::Split(parts) if parts.len() > 1);
         let splits = table.routes().iter().filter(is_split);
-        self.turns = splits.map(|route| (route.name.clone(), keep(&route.name))).collect();
+        self.split_selectors = splits.map(|route| (route.name.clone(), keep(&route.name))).collect();
     }
 
     /// Goes on with the lines of services whose calls wait in the new version too. Calls in another line go on
     /// waiting there, and look for room by themselves.
-    pub(crate) fn keep_lines(&mut self, table: &RouteTable, place: &ClusterPlace) {
-        let mut old = std::mem::take(&mut self.lines);
-        self.mixed = Arc::new(table.mixed_priority_services());
-        for (service, rule) in find_contended(table, &self.mixed, place) {
+    pub(crate) fn keep_queues(&mut self, table: &RouteTable, place: &ClusterPlace) {
+        let mut old = std::mem::take(&mut self.queues);
+        self.mixed_priority_services = Arc::new(table.mixed_priority_services());
+        for (service, rule) in find_contended(table, &self.mixed_priority_services, place) {
             let make = || CallLine::new(service.clone(), rule, self.waits.clone());
             let line = old.remove(&service).unwrap_or_else(make);
             line.set_rule(rule);
-            self.lines.insert(service, line);
+            self.queues.insert(service, line);
         }
     }
 
@@ -226,7 +226,7 @@
     }
 
     /// The nodes that give credit, where any team is limited.
-    fn find_lenders(&self) -> BTreeMap<FailureDomain, Vec<NodeEntry>> {
+    fn find_granters(&self) -> BTreeMap<FailureDomain, Vec<NodeEntry>> {
         let teams = self.table.as_ref().and_then(|table| table.teams());
         if !teams.is_some_and(TeamDirectory::has_limits) {
             return BTreeMap::new();
@@ -262,7 +262,7 @@
             let make = || {
                 let name = server.service.clone();
                 let (is_shard, budget) = (shards.contains(&name), self.budgets.get(&name).cloned());
-                let line = self.lines.get(&name).cloned();
+                let line = self.queues.get(&name).cloned();
                 Service::new(name, is_shard, budget.unwrap_or_default(), line)
             };
             services.entry(server.service.clone()).or_insert_with(make).add(server.clone());
@@ -271,12 +271,12 @@
             table: self.table.clone(),
             services,
             waits: self.waits.clone(),
-            mixed: self.mixed.clone(),
-            times: self.times.clone(),
-            turns: self.turns.clone(),
+            mixed_priority_services: self.mixed_priority_services.clone(),
+            latencies: self.latencies.clone(),
+            split_selectors: self.split_selectors.clone(),
             nodes: self.count_nodes(),
             is_owner: self.is_owner(&place.node),
-            lenders: self.find_lenders(),
+            granters: self.find_granters(),
             near_owners: self.owners_of(&place.domain),
             peers: self.peers.values().cloned().collect(),
         }
--- a/crates/router/src/cluster_view.rs
+++ b/crates/router/src/cluster_view.rs
@@ -23,7 +23,7 @@
 
 /// Servers of a shard from which on the measured pace chooses among them: between two a second call tells as much. A
 /// node calls a service that answers alone too seldom, and its work spreads too widely, to tell a pace from luck.
-const MIN_COMPARED: usize = 3;
+const MIN_COMPARABLE: usize = 3;
 /// Nodes counted on while none is known.
 const ASSUMED_NODES: usize = 8;
 
@@ -37,9 +37,9 @@
     /// Whether it is a shard of a route.
     is_shard: bool,
     /// Whether it has, or had until some left, enough servers to choose among them by their measured pace.
-    is_compared: bool,
+    is_comparable: bool,
     budget: Arc<Mutex<ExtraBudget>>,
-    line: Option<Arc<CallLine>>,
+    queue: Option<Arc<CallLine>>,
 }
 
 impl Service {
@@ -48,9 +48,9 @@
         name: ServiceName,
         is_shard: bool,
         budget: Arc<Mutex<ExtraBudget>>,
-        line: Option<Arc<CallLine>>,
+        queue: Option<Arc<CallLine>>,
     ) -> Self {
-        Self { name, servers: Vec::new(), domains: BTreeSet::new(), is_shard, is_compared: false, budget, line }
+        Self { name, servers: Vec::new(), domains: BTreeSet::new(), is_shard, is_comparable: false, budget, queue }
     }
 
     pub(crate) fn add(&mut self, server: Arc<Server>) {
@@ -71,29 +71,29 @@
     }
 
     /// Whether it has, or had until some left, enough servers to choose among them by their measured pace.
-    pub(crate) fn is_compared(&self) -> bool {
-        self.is_compared
+    pub(crate) fn is_comparable(&self) -> bool {
+        self.is_comparable
     }
 
     /// How many of its servers are good ones now.
-    pub(crate) fn standing(&self, now: Moment) -> ServiceHealth {
+    pub(crate) fn health(&self, now: Moment) -> ServiceHealth {
         let is_good = |server: &&Arc<Server>| !server.is_doubtful() && !server.is_dark(now) && !server.is_slow(now);
         ServiceHealth { servers: self.servers.len(), good: self.servers.iter().filter(is_good).count() }
     }
 
     /// Where its calls wait, if they do.
-    pub fn line(&self) -> Option<&Arc<CallLine>> {
-        self.line.as_ref()
+    pub fn queue(&self) -> Option<&Arc<CallLine>> {
+        self.queue.as_ref()
     }
 
     /// Whether a call of some request may find room at one of its servers.
-    pub fn has_room(&self, now: Moment) -> bool {
+    pub fn has_capacity(&self, now: Moment) -> bool {
         let live = self.servers.iter().filter(|server| !server.is_leaving() && !server.is_dark(now));
         live.filter(|server| server.has_room(now)).any(|server| !server.state().is_avoided(now))
     }
 
     /// How many of its servers each bar keeps requests with these homes from, for the log.
-    pub fn count_bars(&self, now: Moment, homes: &AllowedRegions) -> BTreeMap<ServerExclusion, usize> {
+    pub fn count_exclusions(&self, now: Moment, homes: &AllowedRegions) -> BTreeMap<ServerExclusion, usize> {
         let mut counts = BTreeMap::new();
         for bar in self.servers.iter().filter_map(|server| server.find_bar(now, homes)) {
             *counts.entry(bar).or_default() += 1;
@@ -108,7 +108,7 @@
 }
 
 /// Latencies of one route's calls to servers.
-pub type RouteTimes = Arc<CallTimes>;
+pub type RouteLatencies = Arc<CallTimes>;
 
 /// Nodes of a failure domain.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -128,11 +128,11 @@
     /// How long calls waited lately.
     pub waits: Arc<CallWaits>,
     /// Services that requests of different priority use.
-    pub(crate) mixed: Arc<HashSet<ServiceName>>,
+    pub(crate) mixed_priority_services: Arc<HashSet<ServiceName>>,
     /// Latencies by route.
-    pub times: HashMap<RouteName, RouteTimes>,
+    pub latencies: HashMap<RouteName, RouteLatencies>,
     /// Turns of the services of a route, by route.
-    pub(crate) turns: HashMap<RouteName, Arc<SplitSelector>>,
+    pub(crate) split_selectors: HashMap<RouteName, Arc<SplitSelector>>,
     /// Nodes by failure domain, this one included; also those that were there until lately.
     pub nodes: HashMap<FailureDomain, NodeCount>,
     /// Whether this node is an owner in its failure domain.
@@ -140,15 +140,15 @@
     /// Nodes that this one keeps links to.
     pub peers: Vec<Arc<PeerNode>>,
     /// The nodes of each failure domain that give credit; none where no team is limited.
-    pub(crate) lenders: BTreeMap<FailureDomain, Vec<NodeEntry>>,
+    pub(crate) granters: BTreeMap<FailureDomain, Vec<NodeEntry>>,
     /// The owners of this node's failure domain by name, also those that were there until lately.
     pub near_owners: Vec<NodeId>,
 }
 
 impl ClusterView {
     /// The turns of a route's services, if there are several.
-    pub fn turns(&self, route: &RouteName) -> Option<&SplitSelector> {
-        self.turns.get(route).map(|turns| &**turns)
+    pub fn split_selector(&self, route: &RouteName) -> Option<&SplitSelector> {
+        self.split_selectors.get(route).map(|selector| &**selector)
     }
 
     /// Nodes that share what is divided among all of them.
@@ -178,19 +178,19 @@
 
     /// Finds the services that are, or were in the view before, wide enough to choose by measured pace: the servers that
     /// are left when others go must be told apart most of all.
-    pub(crate) fn compare_servers(&mut self, before: &Self) {
+    pub(crate) fn mark_comparable(&mut self, before: &Self) {
         for (name, service) in &mut self.services {
-            let was_compared = before.services.get(name).is_some_and(|service| service.is_compared);
+            let was_comparable = before.services.get(name).is_some_and(|service| service.is_comparable);
             let staying = service.servers.iter().filter(|server| !server.is_doubtful()).count();
-            service.is_compared = service.is_shard && (was_compared || staying >= MIN_COMPARED);
+            service.is_comparable = service.is_shard && (was_comparable || staying >= MIN_COMPARABLE);
         }
     }
 
     /// Tells each server how many connections this node may have to it, and how many calls it may make
     /// while the server is cold.
-    pub(crate) fn share_out(&self, node: &NodeId, cold_calls: Option<ColdCallSettings>) {
+    pub(crate) fn assign_shares(&self, node: &NodeId, cold_calls: Option<ColdCallSettings>) {
         for service in self.services.values() {
-            service.servers.iter().for_each(|server| server.state().set_comparable(service.is_compared));
+            service.servers.iter().for_each(|server| server.state().set_comparable(service.is_comparable));
         }
         for server in self.services.values().flat_map(|service| &service.servers) {
             server.set_share(self.connection_share(server));
--- a/crates/router/src/connection.rs
+++ b/crates/router/src/connection.rs
@@ -62,11 +62,11 @@
         let exchange = async move {
             let response = sent.await.map_err(|mut error| match error.take_message() {
                 Some(_) => ExchangeError::NotSent,
-                None if error.error().is_parse() => ExchangeError::Lost,
+                None if error.error().is_parse() => ExchangeError::AnswerLost,
                 None => ExchangeError::ConnectionLost,
             })?;
             let (parts, body) = response.into_parts();
-            let body = Limited::new(body, limit).collect().await.map_err(|_| ExchangeError::Lost)?;
+            let body = Limited::new(body, limit).collect().await.map_err(|_| ExchangeError::AnswerLost)?;
             Ok(Response::from_parts(parts, body.to_bytes()))
         };
         let mut exchange = pin!(exchange);
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -109,7 +109,7 @@
 
 /// Whether requests of a route are turned away at all: only where others at its shards are more or less urgent.
 fn is_used(context: &AttemptContext, fold: &GatherSpec) -> bool {
-    let is_mixed = fold.shards.iter().any(|shard| context.view.mixed.contains(shard));
+    let is_mixed = fold.shards.iter().any(|shard| context.view.mixed_priority_services.contains(shard));
     is_mixed && context.router.settings.scheduling.by_priority && context.router.has(Mechanism::EntryGate)
 }
 
--- a/crates/router/src/error.rs
+++ b/crates/router/src/error.rs
@@ -28,5 +28,5 @@
     ConnectionLost,
     /// A part of the answer came back, and not the rest or nothing that is one.
     #[error("answer lost")]
-    Lost,
+    AnswerLost,
 }
--- a/crates/router/src/evacuation.rs
+++ b/crates/router/src/evacuation.rs
@@ -9,7 +9,7 @@
 use bincode::{Decode, Encode};
 use streamfold_model::FailureDomain;
 
-use crate::border::{FeedChange, FeedItem, FeedList, FeedPosition};
+use crate::interface::{FeedChange, FeedItem, FeedList, FeedPosition};
 
 /// The evacuated failure domains at one position.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
@@ -22,19 +22,19 @@
 
 impl EvacuationList {
     /// The list that the store told.
-    pub fn listed(list: &FeedList) -> Self {
+    pub fn from_list(list: &FeedList) -> Self {
         let domains = list.items.iter().filter_map(read_domain).cloned().collect();
         Self { domains, position: list.position }
     }
 
     /// The failure domains for the log.
-    pub fn name_domains(&self) -> String {
+    pub fn format_domains(&self) -> String {
         let names: Vec<&str> = self.domains.iter().map(FailureDomain::as_str).collect();
         if names.is_empty() { "none".to_owned() } else { names.join(",") }
     }
 
     /// The list after some changes.
-    pub fn changed(&self, changes: &[FeedChange], position: FeedPosition) -> Self {
+    pub fn with_changes(&self, changes: &[FeedChange], position: FeedPosition) -> Self {
         let mut domains = self.domains.clone();
         for change in changes {
             match change {
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -6,10 +6,10 @@
 use streamfold_policy::watch_timeout::{self, WatchProgress};
 use streamfold_store::StoreError;
 
-use crate::border::{FeedChanges, FeedList, FeedPosition, FeedTopic, ListAge};
-use crate::cluster::NewsOrigin;
+use crate::cluster::UpdateOrigin;
 use crate::evacuation::EvacuationList;
-use crate::listing::{KnownEntries, RelayListing};
+use crate::interface::{FeedChanges, FeedList, FeedPosition, FeedTopic, ListAge};
+use crate::listing::{KnownEntries, RelaySnapshot};
 use crate::relay::{FeedSource, RelayFrame};
 use crate::router::Router;
 use crate::store_call::{self, CallReason};
@@ -50,7 +50,7 @@
         };
         tokio::select! {
             () = follower.run() => {}
-            () = wait_woken(&router) => router.set_followed(topic, false),
+            () = wait_resumed(&router) => router.set_followed(topic, false),
             // What makes one connection to the store fall silent does so to all of them.
             () = wait_servers_lost(&router), if topic.relies_on_servers() => {}
             _ = source.wait_for(|source| *source != FeedSource::Store) => {}
@@ -59,7 +59,7 @@
 }
 
 /// Waits until the machine was suspended.
-pub(crate) async fn wait_woken(router: &Router) {
+pub(crate) async fn wait_resumed(router: &Router) {
     let mut woken = router.woken.subscribe();
     // The sender lives as long as the router.
     let _ = woken.changed().await;
@@ -89,9 +89,9 @@
         let list = router.feed.list(FeedTopic::Routes, ListAge::Fresh);
         match store_call::make(FeedTopic::Routes, CallReason::Behind, list).await {
             Ok(list) => {
-                router.cluster.replace(router.clock.now(), list.items.clone(), FeedTopic::Routes, NewsOrigin::Store);
+                router.cluster.replace(router.clock.now(), list.items.clone(), FeedTopic::Routes, UpdateOrigin::Store);
                 // Who follows this node would not hear of them: what it has, its own reader leaves out.
-                router.outlet.publish(|| RelayFrame::Listed(FeedTopic::Routes, list.items));
+                router.relay_publisher.publish(|| RelayFrame::Listed(FeedTopic::Routes, list.items));
             }
             Err(error) => tracing::warn!(event = "routes_not_read", %error),
         }
@@ -136,39 +136,39 @@
     fn take_changes(&self, news: FeedChanges) {
         let router = &self.router;
         if self.topic != FeedTopic::Evacuations {
-            router.cluster.apply(router.clock.now(), news.changes.clone(), self.topic, NewsOrigin::Store);
-            router.outlet.publish(|| RelayFrame::Changed(self.topic, news.changes));
+            router.cluster.apply(router.clock.now(), news.changes.clone(), self.topic, UpdateOrigin::Store);
+            router.relay_publisher.publish(|| RelayFrame::Changed(self.topic, news.changes));
         } else if let Some(known) = router.cluster.evacuations() {
-            self.take_evacuations(known.changed(&news.changes, news.position));
+            self.take_evacuations(known.with_changes(&news.changes, news.position));
         }
     }
 
     fn take_list(&self, list: FeedList) {
         let router = &self.router;
         if self.topic == FeedTopic::Evacuations {
-            return self.take_evacuations(EvacuationList::listed(&list));
+            return self.take_evacuations(EvacuationList::from_list(&list));
         }
         if matches!(self.topic, FeedTopic::Servers | FeedTopic::Nodes) {
             return self.take_entries(list);
         }
-        router.cluster.replace(router.clock.now(), list.items.clone(), self.topic, NewsOrigin::Store);
-        router.outlet.publish(|| RelayFrame::Listed(self.topic, list.items));
+        router.cluster.replace(router.clock.now(), list.items.clone(), self.topic, UpdateOrigin::Store);
+        router.relay_publisher.publish(|| RelayFrame::Listed(self.topic, list.items));
     }
 
     /// Takes all servers or nodes, and passes on what was not known before.
     fn take_entries(&self, list: FeedList) {
         let router = &self.router;
         let known = KnownEntries::of(router).digest(router.cluster.version());
-        router.cluster.replace(router.clock.now(), list.items, self.topic, NewsOrigin::Store);
+        router.cluster.replace(router.clock.now(), list.items, self.topic, UpdateOrigin::Store);
         router
-            .outlet
-            .publish(|| RelayFrame::Begin(Box::new(RelayListing::make(router, &KnownEntries::of(router), &known))));
+            .relay_publisher
+            .publish(|| RelayFrame::Snapshot(Box::new(RelaySnapshot::make(router, &KnownEntries::of(router), &known))));
     }
 
     fn take_evacuations(&self, list: EvacuationList) {
         let router = &self.router;
-        router.cluster.offer_evacuations(router.clock.now(), list.clone(), NewsOrigin::Store);
-        router.outlet.publish(|| RelayFrame::Evacuations(list));
+        router.cluster.offer_evacuations(router.clock.now(), list.clone(), UpdateOrigin::Store);
+        router.relay_publisher.publish(|| RelayFrame::Evacuations(list));
     }
 
     /// A watch goes on from what a stale listing shows, so nothing of crashes is missed by it. Other topics
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -24,11 +24,11 @@
 
 use crate::answer::{CallerAnswer, RefusalKind, refuse};
 use crate::attempt_context::{AttemptContext, RequestAsker};
-use crate::border::{CallerHead, FeedTopic};
 use crate::caller_body::{discard_rest, read_body};
 use crate::caller_team::find_team;
 use crate::canary::CanaryCall;
 use crate::cluster_view::ClusterView;
+use crate::interface::{CallerHead, FeedTopic};
 use crate::request::{CallerRequest, RequestArrival};
 use crate::router::{LiveCount, Router, RouterPhase};
 use crate::{entry, gather, quarantine, single, task, usage};
@@ -173,7 +173,7 @@
     })?;
     let team = take_team(router, &routed, &head, &mut parts.headers)?;
     let body = read_body(body, routed.body_limit).await?;
-    let times = routed.view.times.get(&routed.route.name).cloned().unwrap_or_default();
+    let times = routed.view.latencies.get(&routed.route.name).cloned().unwrap_or_default();
     let is_lone = matches!(routed.route.target, RouteTarget::Split(_));
     let request = CallerRequest::new(head, parts, body, arrival, routed.route.timeout, is_lone);
     // A request that one server must take is refused early, so that its caller can come back.
@@ -316,7 +316,7 @@
 
 /// The turns of a request's route, if it is split and goes by turns.
 fn find_turns(context: &AttemptContext) -> Option<&SplitSelector> {
-    context.view.turns(&context.route.name).filter(|_| context.router.has(Mechanism::SplitTurns))
+    context.view.split_selector(&context.route.name).filter(|_| context.router.has(Mechanism::SplitTurns))
 }
 
 /// What an answer over all shards covers.
--- a/crates/router/src/gather.rs
+++ b/crates/router/src/gather.rs
@@ -328,7 +328,7 @@
         let proofs: Vec<HeaderValue> = parts.map(|part| part.proof.clone()).collect();
         let missing = self.slots.len() - proofs.len();
         let mut answer: Response<Full<Bytes>> = Response::new(Full::new(records));
-        self.context.router.format.write_folded(answer.headers_mut(), &proofs, missing);
+        self.context.router.format.write_gathered(answer.headers_mut(), &proofs, missing);
         Ok(answer)
     }
 
--- a/crates/router/src/hedge.rs
+++ b/crates/router/src/hedge.rs
@@ -77,7 +77,7 @@
 
     /// Whether calls wait for the service: they go before second calls.
     fn is_line_busy(&self, attempts: &ServiceAttempts) -> bool {
-        let line = self.view.services.get(&attempts.service).and_then(Service::line);
+        let line = self.view.services.get(&attempts.service).and_then(Service::queue);
         line.is_some_and(|line| line.is_busy())
     }
 
--- a/crates/router/src/border.rs
+++ b/crates/router/src/interface.rs
@@ -24,12 +24,12 @@
     /// How long the caller waits, from when its request was read.
     pub deadline: Option<Duration>,
     /// The key it shows.
-    pub key: ShownKey,
+    pub key: PresentedKey,
 }
 
 /// The key that a caller shows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ShownKey {
+pub enum PresentedKey {
     /// None at all.
     None,
     /// None that can be read, or several.
@@ -38,7 +38,7 @@
     Key(KeyDigest),
 }
 
-impl ShownKey {
+impl PresentedKey {
     /// What it is, for the log; never anything of the key itself.
     pub fn name(self) -> &'static str {
         match self {
@@ -77,7 +77,7 @@
 #[derive(Debug, Clone)]
 pub struct ReplyHead {
     /// Whether the answer carries the id of the request it answers.
-    pub is_own: bool,
+    pub has_matching_id: bool,
     /// Whether the server says that it did not run the request.
     pub is_not_run: bool,
     /// Whether another server than the wanted one answered.
@@ -89,7 +89,7 @@
     /// Its load.
     pub load: Option<ServerLoad>,
     /// How much longer it is cold, if it tells.
-    pub cold_left: Option<Duration>,
+    pub warmup_left: Option<Duration>,
     /// Whether the server closes the connection after this answer.
     pub is_closing: bool,
     /// How long the connection may rest before the server closes it.
@@ -115,7 +115,7 @@
     fn read_reply(&self, request: &HeaderValue, status: StatusCode, headers: &HeaderMap) -> ReplyHead;
 
     /// Fills in what an answer folded of several shards says about them.
-    fn write_folded(&self, headers: &mut HeaderMap, proofs: &[HeaderValue], missing: usize);
+    fn write_gathered(&self, headers: &mut HeaderMap, proofs: &[HeaderValue], missing: usize);
 
     /// Fills in when a refused caller may come back.
     fn write_retry(&self, headers: &mut HeaderMap, wait: Duration);
@@ -250,7 +250,7 @@
     fn list(&self, topic: FeedTopic, age: ListAge) -> FeedFuture<'_, FeedList>;
 
     /// All of a topic as it may have been seconds ago, if that fits in one answer of the store; `None` if it is more.
-    fn list_few(&self, topic: FeedTopic) -> FeedFuture<'_, Option<FeedList>>;
+    fn list_one_page(&self, topic: FeedTopic) -> FeedFuture<'_, Option<FeedList>>;
 
     /// Waits for changes after a position, at most `wait`.
     fn watch(&self, topic: FeedTopic, after: FeedPosition, wait: Duration) -> FeedFuture<'_, FeedChanges>;
--- a/crates/router/src/knowledge.rs
+++ b/crates/router/src/knowledge.rs
@@ -8,9 +8,9 @@
 use streamfold_model::{CrashEntry, NodeEntry, NodeId, RouteTable, TableVersion};
 
 use crate::batch::PATH_KNOWLEDGE;
-use crate::border::{FeedChange, FeedItem, FeedTopic};
-use crate::cluster::NewsOrigin;
+use crate::cluster::UpdateOrigin;
 use crate::evacuation::EvacuationList;
+use crate::interface::{FeedChange, FeedItem, FeedTopic};
 use crate::listing::{DomainSection, KnownDigest, KnownEntries};
 use crate::relay::{FeedSource, RelayFrame};
 use crate::router::Router;
@@ -52,7 +52,7 @@
 }
 
 /// Answers another node.
-pub fn tell(router: &Router, request: &KnowledgeRequest) -> KnowledgeReply {
+pub fn answer(router: &Router, request: &KnowledgeRequest) -> KnowledgeReply {
     // Who starts asks many nodes at once with hundreds of others, and has the rest from its reader.
     if let Some(node) = &request.neighbours_of {
         return KnowledgeReply { nodes: router.cluster.neighbours_of(node), ..KnowledgeReply::default() };
@@ -70,7 +70,7 @@
 }
 
 /// Asks other nodes while the store is away, until the node ends.
-pub async fn ask_in_outages(router: Arc<Router>) {
+pub async fn poll_peers_in_outages(router: Arc<Router>) {
     // The store is asked first.
     loop {
         tokio::time::sleep(ASK_EVERY.mul_f64(rand::random_range(0.8..1.2))).await;
@@ -107,17 +107,19 @@
     let request = KnowledgeRequest { version, known, neighbours_of: None };
     let reply: KnowledgeReply = link.call(PATH_KNOWLEDGE, &request, ASK_TIMEOUT).await?;
     if let Some(list) = reply.evacuations {
-        router.cluster.offer_evacuations(router.clock.now(), list, NewsOrigin::Peer);
+        router.cluster.offer_evacuations(router.clock.now(), list, UpdateOrigin::Peer);
     }
     let crashes = reply.crashes.into_iter().map(FeedItem::Crash).map(FeedChange::Put).collect();
-    router.cluster.apply(router.clock.now(), crashes, FeedTopic::Crashes, NewsOrigin::Peer);
+    router.cluster.apply(router.clock.now(), crashes, FeedTopic::Crashes, UpdateOrigin::Peer);
     // Servers first, since newer routes may name services that only the newer entries have.
     take_entries(router, link, reply.sections);
     if let Some(table) = reply.table
-        && router.cluster.offer_table(table.clone(), NewsOrigin::Peer)
+        && router.cluster.offer_table(table.clone(), UpdateOrigin::Peer)
     {
         // Who follows this node would not hear of them: what it has, its own reader leaves out.
-        router.outlet.publish(|| RelayFrame::Listed(FeedTopic::Routes, vec![FeedItem::Routes(Box::new(table))]));
+        router
+            .relay_publisher
+            .publish(|| RelayFrame::Listed(FeedTopic::Routes, vec![FeedItem::Routes(Box::new(table))]));
     }
     Ok(())
 }
@@ -131,7 +133,7 @@
 
 /// Learns the nodes of the own failure domain from another node; false if that one does not know
 /// even this one yet.
-pub async fn learn_neighbours(router: &Router, link: &Arc<PeerLink>) -> bool {
+pub async fn fetch_neighbours(router: &Router, link: &Arc<PeerLink>) -> bool {
     let own = router.settings.node.clone();
     let request = KnowledgeRequest { version: router.cluster.version(), known: None, neighbours_of: Some(own) };
     let reply: KnowledgeReply = match link.call(PATH_KNOWLEDGE, &request, NEIGHBOURS_TIMEOUT).await {
@@ -144,7 +146,7 @@
     let knows_own = !reply.nodes.is_empty();
     if knows_own {
         let nodes = reply.nodes.into_iter().map(FeedItem::Node).map(FeedChange::Put).collect();
-        router.cluster.apply(router.clock.now(), nodes, FeedTopic::Nodes, NewsOrigin::Peer);
+        router.cluster.apply(router.clock.now(), nodes, FeedTopic::Nodes, UpdateOrigin::Peer);
     }
     knows_own
 }
@@ -166,7 +168,7 @@
     }
     let now = router.clock.now();
     let servers = servers.into_iter().map(FeedItem::Server).map(FeedChange::Put).collect();
-    router.cluster.apply(now, servers, FeedTopic::Servers, NewsOrigin::Peer);
+    router.cluster.apply(now, servers, FeedTopic::Servers, UpdateOrigin::Peer);
     let nodes = nodes.into_iter().map(FeedItem::Node).map(FeedChange::Put).collect();
-    router.cluster.apply(now, nodes, FeedTopic::Nodes, NewsOrigin::Peer);
+    router.cluster.apply(now, nodes, FeedTopic::Nodes, UpdateOrigin::Peer);
 }
--- a/crates/router/src/lenders.rs
+++ b/crates/router/src/lenders.rs
@@ -6,7 +6,7 @@
 use streamfold_policy::owner::choose_owners;
 use streamfold_policy::usage_credit::CreditDomains;
 
-use crate::border::FeedTopic;
+use crate::interface::FeedTopic;
 use crate::router::Router;
 
 /// Nodes of each failure domain that give credit: so many links lead there from any node.
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -2,13 +2,12 @@
 //! service, or to one server of every shard and folds the answers into one.
 //!
 //! It knows no platform: how requests are written and where routes and servers are learnt
-//! from are traits in [`border`].
+//! from are traits in [`interface`].
 
 pub mod answer;
 pub mod attempt_context;
 pub mod attempts;
 pub mod batch;
-pub mod border;
 pub mod call;
 pub mod call_line;
 pub mod call_waits;
@@ -36,6 +35,7 @@
 pub mod gather_batch;
 pub mod gather_hedge;
 pub mod hedge;
+pub mod interface;
 pub mod knowledge;
 mod lenders;
 mod line_choice;
--- a/crates/router/src/line_choice.rs
+++ b/crates/router/src/line_choice.rs
@@ -46,7 +46,7 @@
         let Some(cheapest) = self.find_cheapest(candidates.iter()) else {
             return self.wait_for_any(attempts, place);
         };
-        let Some(line) = service.line() else { return Some(ServerChoice::Now(cheapest, None)) };
+        let Some(line) = service.queue() else { return Some(ServerChoice::Now(cheapest, None)) };
         if place.as_ref().is_some_and(|place| !place.is_called()) {
             return Some(ServerChoice::Wait(place));
         }
@@ -62,7 +62,7 @@
             return Some(ServerChoice::Now(server, place));
         }
         if let Some(place) = place {
-            place.rejoin(service.has_room(self.now()));
+            place.rejoin(service.has_capacity(self.now()));
             return Some(ServerChoice::Wait(Some(place)));
         }
         // A second call would wait behind first ones.
--- a/crates/router/src/listing.rs
+++ b/crates/router/src/listing.rs
@@ -41,7 +41,7 @@
 
 /// All that a reader knows and the other node does not.
 #[derive(Debug, Clone, Encode, Decode)]
-pub struct RelayListing {
+pub struct RelaySnapshot {
     /// The routes, if they are newer.
     pub table: Option<RouteTable>,
     /// Every failure domain that has entries.
@@ -131,7 +131,7 @@
     encode_frame(entries).map_or(0, |frame| xxh3_64(&frame))
 }
 
-impl RelayListing {
+impl RelaySnapshot {
     /// What another node needs to know the same as this one, which has these entries.
     pub fn make(router: &Router, entries: &KnownEntries, known: &KnownDigest) -> Self {
         let table = router.cluster.view().table.clone();
--- a/crates/router/src/look_around.rs
+++ b/crates/router/src/look_around.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use crate::border::{FeedList, FeedTopic, ListAge};
-use crate::cluster::NewsOrigin;
+use crate::cluster::UpdateOrigin;
+use crate::interface::{FeedList, FeedTopic, ListAge};
 use crate::knowledge;
 use crate::router::Router;
 use crate::store_call::{self, CallReason};
@@ -47,7 +47,8 @@
 
 /// Learns the nodes from the store if they fit in one answer; false where they are more.
 async fn learn_few(router: &Router) -> bool {
-    match store_call::make(FeedTopic::Nodes, CallReason::LookAround, router.feed.list_few(FeedTopic::Nodes)).await {
+    match store_call::make(FeedTopic::Nodes, CallReason::LookAround, router.feed.list_one_page(FeedTopic::Nodes)).await
+    {
         Ok(Some(list)) => {
             take_nodes(router, list);
             true
@@ -62,7 +63,7 @@
 }
 
 fn take_nodes(router: &Router, list: FeedList) {
-    router.cluster.replace(router.clock.now(), list.items, FeedTopic::Nodes, NewsOrigin::Store);
+    router.cluster.replace(router.clock.now(), list.items, FeedTopic::Nodes, UpdateOrigin::Store);
     router.nodes_learnt.notify_one();
 }
 
@@ -70,7 +71,7 @@
 async fn learn_from_seeds(router: &Router, within: Duration) -> bool {
     let asking = async {
         while let Some(seed) = knowledge::choose_seed(router) {
-            if knowledge::learn_neighbours(router, seed).await {
+            if knowledge::fetch_neighbours(router, seed).await {
                 router.nodes_learnt.notify_one();
                 return true;
             }
--- a/crates/router/src/node_sweep.rs
+++ b/crates/router/src/node_sweep.rs
@@ -8,8 +8,8 @@
 use streamfold_policy::absence::AbsenceTracker;
 use tokio::net::TcpStream;
 
-use crate::border::FeedTopic;
 use crate::feed;
+use crate::interface::FeedTopic;
 use crate::quarantine;
 use crate::relay::FeedSource;
 use crate::router::{Router, RouterPhase};
--- a/crates/router/src/peer_service.rs
+++ b/crates/router/src/peer_service.rs
@@ -17,10 +17,10 @@
 
 use crate::attempt_context::{AttemptContext, RequestAsker};
 use crate::batch::{BatchFrame, BatchMode, PATH_BATCH, PATH_KNOWLEDGE, ShardBatch, ShardReply};
-use crate::border::{CallerHead, ShownKey};
 use crate::canary::CanaryCall;
 use crate::cluster_view::ClusterView;
 use crate::delegate::ASKING_SHARE;
+use crate::interface::{CallerHead, PresentedKey};
 use crate::knowledge::{self, KnowledgeRequest};
 use crate::peer_gather::PeerGather;
 use crate::quarantine_news::{self, PATH_QUARANTINE, QuarantineNews};
@@ -165,7 +165,7 @@
     respond: &mut SendResponse<Bytes>,
 ) -> Result<(), PeerError> {
     let request: KnowledgeRequest = read_message(body, KNOWLEDGE_LIMIT).await?;
-    reply(respond, &knowledge::tell(router, &request)).await
+    reply(respond, &knowledge::answer(router, &request)).await
 }
 
 async fn serve_credit(router: &Router, body: RecvStream, respond: &mut SendResponse<Bytes>) -> Result<(), PeerError> {
@@ -207,12 +207,12 @@
     let (parts, ()) = copy.into_parts();
     let now = router.clock.now();
     // The node that asks has checked the key and taken it out.
-    let head = CallerHead { request: id, deadline: None, key: ShownKey::None };
+    let head = CallerHead { request: id, deadline: None, key: PresentedKey::None };
     let body = Bytes::copy_from_slice(&batch.request.body);
     let left = Duration::from_micros(batch.left_us);
     let request = CallerRequest::new(head, parts, body, RequestArrival::at(now), left, false);
     let view = router.cluster.view();
-    let times = view.times.get(&batch.route).cloned().unwrap_or_default();
+    let times = view.latencies.get(&batch.route).cloned().unwrap_or_default();
     let shards = batch.shards.iter().map(|shard| shard.service.clone()).collect();
     let fold = GatherSpec { shards, top: batch.top, min_coverage: 0.0 };
     let route = RouteSpec {
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -10,9 +10,9 @@
 use streamfold_policy::crash_tracker::{ContentStatus, CrashSuspect, CrashTracker, DECISION_DELAY, MIN_CRASHES};
 use streamfold_store::StoreError;
 
-use crate::border::{EntryRevision, FeedTopic};
-use crate::cluster::NewsOrigin;
+use crate::cluster::UpdateOrigin;
 use crate::crash_check;
+use crate::interface::{EntryRevision, FeedTopic};
 use crate::quarantine_news;
 use crate::router::Router;
 use crate::server::Server;
@@ -85,7 +85,7 @@
         let is_news = self.change(|book| book.put_quarantined(now, entry));
         if is_news {
             let crashed = entry.crashed.len();
-            let source = NewsOrigin::Peer;
+            let source = UpdateOrigin::Peer;
             let (content, trials) = (entry.content, entry.trials);
             tracing::warn!(event = "content_held", %content, crashed, trials, %source);
         }
@@ -93,7 +93,7 @@
     }
 
     /// Takes what the store holds of a content.
-    pub(crate) fn put(&self, now: Moment, entry: CrashEntry, origin: NewsOrigin) {
+    pub(crate) fn put(&self, now: Moment, entry: CrashEntry, origin: UpdateOrigin) {
         let (content, servers, trials) = (entry.content, entry.crashed.len(), entry.trials);
         if self.change(|book| book.put_shared(now, entry)) {
             tracing::warn!(event = "content_held", %content, crashed = servers, trials, source = %origin);
@@ -173,7 +173,7 @@
     let content = entry.content;
     match tokio::time::timeout(TELL_WITHIN, tell(&router, entry)).await {
         // Others need not be waited for.
-        Ok(entry) => router.cluster.quarantine.put(router.clock.now(), entry, NewsOrigin::Store),
+        Ok(entry) => router.cluster.quarantine.put(router.clock.now(), entry, UpdateOrigin::Store),
         Err(_) => tracing::warn!(event = "content_not_told", %content),
     }
 }
@@ -235,7 +235,7 @@
     match raised.unwrap_or(Err(StoreError::Unreachable)) {
         Ok(Some(entry)) => {
             tracing::info!(event = "content_tried", %content, trials = entry.trials);
-            quarantine.put(router.clock.now(), entry, NewsOrigin::Store);
+            quarantine.put(router.clock.now(), entry, UpdateOrigin::Store);
             true
         }
         Ok(None) => false,
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -13,18 +13,18 @@
 use streamfold_policy::reader_choice::{ReaderCandidate, choose_readers};
 use streamfold_policy::reader_probe::ProbeSchedule;
 
-use crate::border::{FeedChange, FeedItem, FeedTopic};
-use crate::cluster::NewsOrigin;
+use crate::cluster::UpdateOrigin;
 use crate::evacuation::EvacuationList;
 use crate::feed;
-use crate::listing::{KnownDigest, KnownEntries, RelayListing};
+use crate::interface::{FeedChange, FeedItem, FeedTopic};
+use crate::listing::{KnownDigest, KnownEntries, RelaySnapshot};
 use crate::relay_service::known_entries;
 use crate::router::Router;
 
 /// Path of a subscription to the news of the store, with the form of the messages.
 pub const PATH_RELAY: &str = "/5/relay";
 /// How often a reader without news says that it follows the store.
-pub const ALIVE_EVERY: Duration = Duration::from_millis(500);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// A reader that said nothing for so long is given up: three signs of life are missing. A leaving
 /// server must be known within three seconds, so as much is left for asking the store.
 const SILENCE: Duration = Duration::from_millis(1_500);
@@ -64,7 +64,7 @@
 pub enum RelayFrame {
     /// All that it knows and the other node does not; the first message, and again where this node begins
     /// anew with its own reader.
-    Begin(Box<RelayListing>),
+    Snapshot(Box<RelaySnapshot>),
     /// All of one topic, read anew.
     Listed(FeedTopic, Vec<FeedItem>),
     /// Changes of a topic.
@@ -72,7 +72,7 @@
     /// The evacuated failure domains, whole.
     Evacuations(EvacuationList),
     /// Nothing new; the store is followed.
-    Alive,
+    Heartbeat,
     /// It is about to follow the store and begins then; before the first message.
     Starting,
 }
@@ -81,14 +81,14 @@
     /// What it tells, for counters and logs.
     pub fn kind(&self) -> &'static str {
         match self {
-            Self::Begin(_) => "all",
+            Self::Snapshot(_) => "all",
             Self::Listed(FeedTopic::Routes, _) | Self::Changed(FeedTopic::Routes, _) => "routes",
             Self::Listed(FeedTopic::Servers, _) | Self::Changed(FeedTopic::Servers, _) => "servers",
             Self::Listed(FeedTopic::Nodes, _) | Self::Changed(FeedTopic::Nodes, _) => "nodes",
             Self::Listed(FeedTopic::Crashes, _) | Self::Changed(FeedTopic::Crashes, _) => "crashes",
             Self::Listed(FeedTopic::Evacuations, _) | Self::Changed(FeedTopic::Evacuations, _) => "evacuations",
             Self::Evacuations(_) => "evacuations",
-            Self::Alive => "alive",
+            Self::Heartbeat => "alive",
             Self::Starting => "starting",
         }
     }
@@ -273,9 +273,9 @@
             let next = tokio::time::timeout(SILENCE, frames.next::<RelayFrame>()).await;
             first = next.map_err(|_| RelayError::Silent)??;
         }
-        let Some(RelayFrame::Begin(listing)) = first else { return Err(RelayError::NoListing) };
+        let Some(RelayFrame::Snapshot(listing)) = first else { return Err(RelayError::NoListing) };
         let news = listing.sections.iter().filter_map(|section| section.servers.as_ref()).map(Vec::len).sum::<usize>();
-        take_frame(router, RelayFrame::Begin(listing));
+        take_frame(router, RelayFrame::Snapshot(listing));
         let servers = router.cluster.count_servers();
         tracing::info!(event = "reader_followed", reader = %entry.node, servers, news);
         router.set_source(FeedSource::Relay);
@@ -286,7 +286,7 @@
     async fn run(&mut self, router: &Router) -> RelayError {
         tokio::select! {
             error = self.take_news(router) => error,
-            () = feed::wait_woken(router) => RelayError::Suspended,
+            () = feed::wait_resumed(router) => RelayError::Suspended,
         }
     }
 
@@ -304,7 +304,7 @@
 
 /// Takes all that a reader knows. Evacuations come before the servers that they concern, and servers
 /// before routes that may name them.
-fn take_listing(router: &Router, listing: RelayListing) {
+fn take_listing(router: &Router, listing: RelaySnapshot) {
     if let Some(list) = listing.evacuations {
         take_evacuations(router, list);
     }
@@ -320,29 +320,29 @@
 }
 
 fn take_topic(router: &Router, topic: FeedTopic, items: Vec<FeedItem>) {
-    router.cluster.replace(router.clock.now(), items, topic, NewsOrigin::Reader);
+    router.cluster.replace(router.clock.now(), items, topic, UpdateOrigin::Reader);
     router.set_followed(topic, true);
 }
 
 fn take_evacuations(router: &Router, list: EvacuationList) {
-    router.cluster.offer_evacuations(router.clock.now(), list, NewsOrigin::Reader);
+    router.cluster.offer_evacuations(router.clock.now(), list, UpdateOrigin::Reader);
     router.set_followed(FeedTopic::Evacuations, true);
 }
 
 /// Takes a message of a reader and passes it on to the nodes that follow this one.
 fn take_frame(router: &Router, frame: RelayFrame) {
-    let is_news = !matches!(frame, RelayFrame::Alive | RelayFrame::Starting);
+    let is_news = !matches!(frame, RelayFrame::Heartbeat | RelayFrame::Starting);
     let copy = is_news.then(|| frame.clone());
     match frame {
-        RelayFrame::Begin(listing) => take_listing(router, *listing),
+        RelayFrame::Snapshot(listing) => take_listing(router, *listing),
         RelayFrame::Listed(topic, items) => take_topic(router, topic, items),
         RelayFrame::Changed(topic, changes) => {
-            router.cluster.apply(router.clock.now(), changes, topic, NewsOrigin::Reader);
+            router.cluster.apply(router.clock.now(), changes, topic, UpdateOrigin::Reader);
         }
         RelayFrame::Evacuations(list) => take_evacuations(router, list),
-        RelayFrame::Alive | RelayFrame::Starting => {}
+        RelayFrame::Heartbeat | RelayFrame::Starting => {}
     }
     if let Some(copy) = copy {
-        router.outlet.publish(|| copy);
+        router.relay_publisher.publish(|| copy);
     }
 }
--- a/crates/router/src/relay_service.rs
+++ b/crates/router/src/relay_service.rs
@@ -10,8 +10,8 @@
 use streamfold_link::{PeerError, encode_frame, refuse, send_frame};
 use tokio::sync::broadcast;
 
-use crate::listing::{KnownDigest, KnownEntries, RelayListing};
-use crate::relay::{ALIVE_EVERY, FeedSource, RelayFrame, RelayRequest};
+use crate::listing::{KnownDigest, KnownEntries, RelaySnapshot};
+use crate::relay::{FeedSource, HEARTBEAT_INTERVAL, RelayFrame, RelayRequest};
 use crate::router::{Router, RouterPhase};
 
 /// How long a node may take to become a reader after it was asked: it may have lost its own reader at the same
@@ -25,19 +25,19 @@
 const LARGE_NEWS: usize = 128 << 10;
 
 /// Passes news to every node that follows this one.
-pub struct RelayOutlet {
+pub struct RelayPublisher {
     news: broadcast::Sender<Bytes>,
     /// What this node knows with the generation of it: after a restart of all nodes many ask for it at once.
     known: Mutex<Option<(u64, Arc<KnownEntries>)>>,
 }
 
-impl Default for RelayOutlet {
+impl Default for RelayPublisher {
     fn default() -> Self {
         Self { news: broadcast::Sender::new(MAX_LAG), known: Mutex::default() }
     }
 }
 
-impl RelayOutlet {
+impl RelayPublisher {
     /// Passes a message on; it is only made if anybody listens.
     pub fn publish(&self, make: impl FnOnce() -> RelayFrame) {
         let followers = self.news.receiver_count();
@@ -92,7 +92,7 @@
     }
     tracing::info!(event = "follower_begun", follower = %request.node);
     // Subscribed before the listing is made, so that nothing is missed between them.
-    let mut news = router.outlet.news.subscribe();
+    let mut news = router.relay_publisher.news.subscribe();
     let begin = encode_begin(router, &request.known)?;
     note_passed("begin", begin.len(), 1);
     send_frame(&mut stream, begin, false).await?;
@@ -106,7 +106,7 @@
     news: &mut broadcast::Receiver<Bytes>,
     stream: &mut SendStream<Bytes>,
 ) -> Result<(), PeerError> {
-    let alive = encode_frame(&RelayFrame::Alive)?;
+    let alive = encode_frame(&RelayFrame::Heartbeat)?;
     let mut changed = router.feed_changed.subscribe();
     let mut phase = router.phase.subscribe();
     while is_reader(router) {
@@ -116,7 +116,7 @@
                 // It lags too far behind and has to begin anew.
                 Err(_) => break,
             },
-            () = tokio::time::sleep(ALIVE_EVERY) => alive.clone(),
+            () = tokio::time::sleep(HEARTBEAT_INTERVAL) => alive.clone(),
             _ = changed.changed() => continue,
             _ = phase.changed() => continue,
             _ = std::future::poll_fn(|cx| stream.poll_reset(cx)) => return Ok(()),
@@ -143,7 +143,7 @@
         send_frame(stream, starting.clone(), false).await?;
         tokio::select! {
             _ = changed.changed() => {}
-            () = tokio::time::sleep(ALIVE_EVERY) => {}
+            () = tokio::time::sleep(HEARTBEAT_INTERVAL) => {}
             // The other node waits no longer.
             _ = std::future::poll_fn(|cx| stream.poll_reset(cx)) => return Ok(false),
         }
@@ -153,14 +153,14 @@
 
 /// The first message to a follower that has something already.
 fn encode_begin(router: &Router, known: &KnownDigest) -> Result<Bytes, PeerError> {
-    let listing = RelayListing::make(router, &known_entries(router), known);
-    encode_frame(&RelayFrame::Begin(Box::new(listing)))
+    let listing = RelaySnapshot::make(router, &known_entries(router), known);
+    encode_frame(&RelayFrame::Snapshot(Box::new(listing)))
 }
 
 /// What this node knows now.
 pub(crate) fn known_entries(router: &Router) -> Arc<KnownEntries> {
     let generation = router.cluster.generation();
-    let mut known = router.outlet.known.lock().unwrap_or_else(PoisonError::into_inner);
+    let mut known = router.relay_publisher.known.lock().unwrap_or_else(PoisonError::into_inner);
     if let Some((_, entries)) = known.as_ref().filter(|(made, _)| *made == generation) {
         return entries.clone();
     }
--- a/crates/router/src/request.rs
+++ b/crates/router/src/request.rs
@@ -14,7 +14,7 @@
 use streamfold_policy::crash_tracker::CrashSuspect;
 
 use crate::batch::RequestCopy;
-use crate::border::{CallFormat, CallerHead};
+use crate::interface::{CallFormat, CallerHead};
 
 /// Headers that concern one connection only.
 const HOP_HEADERS: [HeaderName; 9] = [
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -13,14 +13,14 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::JoinSet;
 
-use crate::border::{CallFormat, ClusterFeed, FeedPosition, FeedTopic};
 use crate::clock::{NodeClock, wall_ms};
 use crate::cluster::Cluster;
 use crate::cluster_place::ClusterPlace;
 use crate::cluster_view::{ClusterView, Service};
 use crate::entry::EntryControl;
+use crate::interface::{CallFormat, ClusterFeed, FeedPosition, FeedTopic};
 use crate::relay::FeedSource;
-use crate::relay_service::RelayOutlet;
+use crate::relay_service::RelayPublisher;
 use crate::settings::RouterSettings;
 use crate::shortage::ShortageWatch;
 use crate::store_turn::StoreTurn;
@@ -86,7 +86,7 @@
     /// The turn of calls to the store while it refuses them.
     pub(crate) store_turn: StoreTurn,
     /// Passes news of the store to other nodes.
-    pub outlet: RelayOutlet,
+    pub relay_publisher: RelayPublisher,
     /// Credit of teams whose requests are limited.
     pub(crate) usage: UsageLedger,
     /// Services with few good servers.
@@ -174,7 +174,7 @@
             feed_changed: watch::Sender::new(()),
             batch_gate: Mutex::default(),
             store_turn: StoreTurn::default(),
-            outlet: RelayOutlet::default(),
+            relay_publisher: RelayPublisher::default(),
             usage: UsageLedger::default(),
             shortage: ShortageWatch::default(),
             entry: EntryControl::default(),
--- a/crates/router/src/router_start.rs
+++ b/crates/router/src/router_start.rs
@@ -6,8 +6,8 @@
 use streamfold_policy::Mechanism;
 use tokio::net::TcpListener;
 
-use crate::border::{CallFormat, ClusterFeed};
 use crate::error::RouterError;
+use crate::interface::{CallFormat, ClusterFeed};
 use crate::router::{Router, RunningRouter};
 use crate::settings::RouterSettings;
 use crate::task::NodeTasks;
@@ -60,7 +60,7 @@
     tasks.start("peers", move |router| peer_service::serve(router, peers_listener.clone()));
     tasks.start("links", peers::keep_connected);
     tasks.start("signs", signs::ask);
-    tasks.start("knowledge", knowledge::ask_in_outages);
+    tasks.start("knowledge", knowledge::poll_peers_in_outages);
     tasks.start("sweep", sweep);
     tokio::spawn(tell_ready(router.clone()));
     Ok(RunningRouter { router, tasks: tasks.into_running() })
--- a/crates/router/src/router_stop.rs
+++ b/crates/router/src/router_stop.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use crate::border::FeedTopic;
+use crate::interface::FeedTopic;
 use crate::router::{Router, RouterPhase, RunningRouter};
 use crate::store_call::{self, CallReason};
 
--- a/crates/router/src/shortage.rs
+++ b/crates/router/src/shortage.rs
@@ -31,8 +31,8 @@
 }
 
 fn find_short(view: &ClusterView, now: Moment) -> BTreeSet<ServiceName> {
-    let services = view.services.iter().filter(|(_, service)| service.is_compared());
-    services.filter(|(_, service)| service.standing(now).is_short()).map(|(name, _)| name.clone()).collect()
+    let services = view.services.iter().filter(|(_, service)| service.is_comparable());
+    services.filter(|(_, service)| service.health(now).is_short()).map(|(name, _)| name.clone()).collect()
 }
 
 fn join(names: &[ServiceName]) -> String {
--- a/crates/router/src/store_call.rs
+++ b/crates/router/src/store_call.rs
@@ -5,7 +5,7 @@
 
 use streamfold_store::StoreError;
 
-use crate::border::FeedTopic;
+use crate::interface::FeedTopic;
 
 /// Why a node calls the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/router/src/usage.rs
+++ b/crates/router/src/usage.rs
@@ -178,7 +178,7 @@
     UsageAllowance {
         requests: usage.map_or(0.0, |usage| usage.allowance),
         window: usage.map_or(ASSUMED_WINDOW, |usage| usage.window.0),
-        domains: credit_domains(router, &known_domains(&view.lenders)).count(),
+        domains: credit_domains(router, &known_domains(&view.granters)).count(),
     }
 }
 
@@ -227,7 +227,7 @@
     let usable = usable_wait(request.deadline.since(now), request.started.plus(target).since(now));
     let caller = ReturningCaller { content: request.suspect.content, usable_us: usable.as_micros() as u64 };
     let ask = CreditRequest { team: team.name.clone(), ask: CreditAsk::Take, caller: Some(caller) };
-    let lenders = view.lenders.get(&router.settings.failure_domain).map_or(&[][..], Vec::as_slice);
+    let lenders = view.granters.get(&router.settings.failure_domain).map_or(&[][..], Vec::as_slice);
     for entry in rank_lenders(lenders, &team.name, MAX_ASKED) {
         let reply = if entry.node == router.settings.node {
             Some(deal(router, view, &ask).await)
@@ -266,7 +266,7 @@
     }
     let (router, view, team) = (router.clone(), view.clone(), team.name.clone());
     tokio::spawn(async move {
-        let lenders = view.lenders.get(&router.settings.failure_domain).map_or(&[][..], Vec::as_slice);
+        let lenders = view.granters.get(&router.settings.failure_domain).map_or(&[][..], Vec::as_slice);
         let Some(entry) = rank_lenders(lenders, &team, 1).first().copied() else { return };
         if entry.node == router.settings.node {
             return lock(&router.usage.domain).give_back(&team);
@@ -301,18 +301,18 @@
 /// Gives up credit that other nodes give from now on, or gave until now, by this node's view.
 fn note_lenders(router: &Router, view: &ClusterView) {
     let mut known = lock(&router.usage.lenders);
-    if known.as_ref() == Some(&view.lenders) {
+    if known.as_ref() == Some(&view.granters) {
         return;
     }
-    let Some(before) = known.replace(view.lenders.clone()) else { return };
+    let Some(before) = known.replace(view.granters.clone()) else { return };
     let now = router.clock.now();
-    let both = [&before, &view.lenders];
+    let both = [&before, &view.granters];
     let deals = |team: &TeamName| both.iter().all(|lenders| is_dealer(router, lenders, team));
     let lends = |team: &TeamName| both.iter().all(|lenders| is_pool(router, lenders, team));
     lock(&router.usage.domain).change_granters(now, deals);
     lock(&router.usage.pools).change_granters(now, lends);
-    let domains = view.lenders.len();
-    tracing::info!(event = "lenders_changed", domains, lenders = view.lenders.values().map(Vec::len).sum::<usize>());
+    let domains = view.granters.len();
+    tracing::info!(event = "lenders_changed", domains, lenders = view.granters.values().map(Vec::len).sum::<usize>());
 }
 
 /// Whether callers of one team that are refused return in turn.
@@ -327,7 +327,7 @@
     // By the routes in force here there is no limit.
     let Some(limit) = find_limit(view, team) else { return CreditReply::granted(1) };
     note_lenders(router, view);
-    if !is_dealer(router, &view.lenders, team) {
+    if !is_dealer(router, &view.granters, team) {
         lock(&router.usage.domain).note_failover(router.clock.now(), team);
     }
     let allowance = allowance(router, view);
@@ -369,7 +369,7 @@
 }
 
 async fn ask_pool(router: &Router, view: &ClusterView, team: &TeamName, wanted: u32) -> Option<PoolGrant> {
-    let entry = find_pool(router, &view.lenders, team)?;
+    let entry = find_pool(router, &view.granters, team)?;
     let reply = if entry.node == router.settings.node {
         lend(router, view, team, wanted)
     } else {
@@ -384,7 +384,7 @@
     let Some(limit) = find_limit(view, team) else { return CreditReply::granted(wanted) };
     note_lenders(router, view);
     let (now, mut pools) = (router.clock.now(), lock(&router.usage.pools));
-    if !is_pool(router, &view.lenders, team) {
+    if !is_pool(router, &view.granters, team) {
         pools.note_failover(now, team);
     }
     let loan = pools.grant(now, team, limit, allowance(router, view), wanted);
--- a/crates/router/tests/cluster.rs
+++ b/crates/router/tests/cluster.rs
@@ -8,9 +8,9 @@
     RouteTable, RouteTarget, ServerEntry, ServerStart, ServiceName, TableVersion, WeightedService,
 };
 use streamfold_policy::{MechanismSet, Moment};
-use streamfold_router::border::{FeedChange, FeedItem, FeedTopic};
-use streamfold_router::cluster::{Cluster, NewsOrigin};
+use streamfold_router::cluster::{Cluster, UpdateOrigin};
 use streamfold_router::cluster_place::ClusterPlace;
+use streamfold_router::interface::{FeedChange, FeedItem, FeedTopic};
 use streamfold_router::settings::SchedulingSettings;
 
 fn entry(name: &str, incarnation: u64) -> NodeEntry {
@@ -35,23 +35,23 @@
     })
 }
 
-fn tell(cluster: &Cluster, entry: NodeEntry, origin: NewsOrigin) {
+fn tell(cluster: &Cluster, entry: NodeEntry, origin: UpdateOrigin) {
     cluster.apply(Moment::default(), vec![FeedChange::Put(FeedItem::Node(entry))], FeedTopic::Nodes, origin);
 }
 
 #[test]
 fn an_older_entry_that_another_node_tells_replaces_none() {
     let cluster = make_cluster();
-    tell(&cluster, entry("a", 2), NewsOrigin::Store);
-    tell(&cluster, entry("a", 1), NewsOrigin::Peer);
-    tell(&cluster, entry("b", 1), NewsOrigin::Peer);
+    tell(&cluster, entry("a", 2), UpdateOrigin::Store);
+    tell(&cluster, entry("a", 1), UpdateOrigin::Peer);
+    tell(&cluster, entry("b", 1), UpdateOrigin::Peer);
     assert_eq!(cluster.neighbours().into_iter().find(|known| known.node.as_str() == "a"), Some(entry("a", 2)));
     assert!(cluster.has_node(&"b".parse().expect("a name")), "one that was not known is added");
     let known = |name: &str| cluster.neighbours().into_iter().find(|known| known.node.as_str() == name);
-    tell(&cluster, entry("a", 3), NewsOrigin::Peer);
+    tell(&cluster, entry("a", 3), UpdateOrigin::Peer);
     assert_eq!(known("a"), Some(entry("a", 3)), "a later run is taken while the store is away");
     // A clock that was put back: the store knows better.
-    tell(&cluster, entry("a", 1), NewsOrigin::Store);
+    tell(&cluster, entry("a", 1), UpdateOrigin::Store);
     assert_eq!(known("a"), Some(entry("a", 1)));
 }
 
@@ -91,7 +91,7 @@
         idle_timeout: Duration::from_secs(1),
     };
     let table = RouteTable::build(TableVersion(1), routes, Vec::new(), limits).expect("a table");
-    cluster.offer_table(table, NewsOrigin::Store);
+    cluster.offer_table(table, UpdateOrigin::Store);
     for service in ["shard", "lone"] {
         let server = ServerEntry {
             id: format!("i-{service}").parse().expect("an id"),
@@ -104,7 +104,7 @@
             warmup: Duration::ZERO,
         };
         let change = FeedChange::Put(FeedItem::Server(server));
-        cluster.apply(Moment::default(), vec![change], FeedTopic::Servers, NewsOrigin::Store);
+        cluster.apply(Moment::default(), vec![change], FeedTopic::Servers, UpdateOrigin::Store);
     }
 }
 
@@ -112,13 +112,13 @@
 /// part of a thousand extra calls to a shard and to a lone service.
 fn tell_links(own_thousandths: u32) -> String {
     let cluster = make_cluster();
-    tell(&cluster, sized("own", "zone-a", own_thousandths), NewsOrigin::Store);
+    tell(&cluster, sized("own", "zone-a", own_thousandths), UpdateOrigin::Store);
     for domain in ["zone-a", "zone-b"] {
         for number in 0..3 {
-            tell(&cluster, sized(&format!("{domain}-strong-{number}"), domain, 500), NewsOrigin::Store);
+            tell(&cluster, sized(&format!("{domain}-strong-{number}"), domain, 500), UpdateOrigin::Store);
         }
         for number in 0..5 {
-            tell(&cluster, sized(&format!("{domain}-weak-{number}"), domain, 120), NewsOrigin::Store);
+            tell(&cluster, sized(&format!("{domain}-weak-{number}"), domain, 120), UpdateOrigin::Store);
         }
     }
     tell_services(&cluster, "zone-a");
@@ -143,7 +143,7 @@
     // Hundreds ask at once: what is told of neighbours before that is of no use to them.
     let cluster = make_cluster();
     for (name, domain) in [("a-1", "zone-a"), ("b-1", "zone-b"), ("b-2", "zone-b")] {
-        tell(&cluster, sized(name, domain, 120), NewsOrigin::Store);
+        tell(&cluster, sized(name, domain, 120), UpdateOrigin::Store);
     }
     let told = |name: &str| {
         let told = cluster.neighbours_of(&name.parse().expect("a name"));
--- a/crates/router/tests/credit_before_routes.rs
+++ b/crates/router/tests/credit_before_routes.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fakes::{FakeFeed, FakeNews, NoFormat, wait_version, write_settings, write_table};
+use fakes::{FakeFeed, FakeTopics, NoFormat, make_settings, make_table, wait_version};
 use streamfold_link::{PeerError, PeerLink};
-use streamfold_router::border::{FeedChanges, FeedFuture, FeedList, FeedPosition, FeedTopic};
+use streamfold_router::interface::{FeedChanges, FeedFuture, FeedList, FeedPosition, FeedTopic};
 use streamfold_router::router_start;
 use streamfold_router::usage::{CreditAsk, CreditReply, CreditRequest, PATH_CREDIT};
 use streamfold_store::StoreError;
@@ -19,14 +19,14 @@
 /// A store with these routes, if any.
 struct FixedNews(Option<u64>);
 
-impl FakeNews for FixedNews {
+impl FakeTopics for FixedNews {
     fn list(&self, topic: FeedTopic) -> Result<FeedList, StoreError> {
-        if self.0.is_some() { Ok(self.list_few(topic)) } else { Err(StoreError::Unreachable) }
+        if self.0.is_some() { Ok(self.list_one_page(topic)) } else { Err(StoreError::Unreachable) }
     }
 
-    fn list_few(&self, topic: FeedTopic) -> FeedList {
+    fn list_one_page(&self, topic: FeedTopic) -> FeedList {
         let routes = self.0.filter(|_| topic == FeedTopic::Routes);
-        FeedList { items: routes.map(write_table).into_iter().collect(), position: FeedPosition(1) }
+        FeedList { items: routes.map(make_table).into_iter().collect(), position: FeedPosition(1) }
     }
 
     fn watch(&self, _: FeedTopic, _: FeedPosition, _: Duration) -> FeedFuture<'_, FeedChanges> {
@@ -41,7 +41,7 @@
 }
 
 async fn assert_gives_none(version: Option<u64>) {
-    let settings = write_settings("asked", 1.0);
+    let settings = make_settings("asked", 1.0);
     let link = PeerLink::new(settings.peers);
     let feed = Arc::new(FakeFeed(FixedNews(version)));
     let node = router_start::start(settings, Arc::new(NoFormat), feed, String::new).await.expect("a node");
--- a/crates/router/tests/fakes/mod.rs
+++ b/crates/router/tests/fakes/mod.rs
@@ -4,7 +4,7 @@
 
 use http::{HeaderMap, HeaderValue, StatusCode};
 use streamfold_model::{CallerLimits, ContentId, CrashEntry, NodeEntry, RouteTable, ServerId, TableVersion, TeamName};
-use streamfold_router::border::{
+use streamfold_router::interface::{
     CallFormat, CallerHead, ClusterFeed, EntryRevision, FeedChanges, FeedFuture, FeedItem, FeedList, FeedPosition,
     FeedTopic, HeadError, ListAge, ReplyHead,
 };
@@ -32,7 +32,7 @@
         unreachable!("nothing is sent to servers")
     }
 
-    fn write_folded(&self, _: &mut HeaderMap, _: &[HeaderValue], _: usize) {}
+    fn write_gathered(&self, _: &mut HeaderMap, _: &[HeaderValue], _: usize) {}
 
     fn write_retry(&self, _: &mut HeaderMap, _: Duration) {}
 
@@ -42,12 +42,12 @@
 }
 
 /// What a store tells of its topics.
-pub trait FakeNews: Send + Sync {
+pub trait FakeTopics: Send + Sync {
     /// Reads all of a topic.
     fn list(&self, topic: FeedTopic) -> Result<FeedList, StoreError>;
 
     /// Reads all of a topic, stale and in one answer.
-    fn list_few(&self, topic: FeedTopic) -> FeedList;
+    fn list_one_page(&self, topic: FeedTopic) -> FeedList;
 
     /// Waits for changes.
     fn watch(&self, topic: FeedTopic, after: FeedPosition, wait: Duration) -> FeedFuture<'_, FeedChanges>;
@@ -60,13 +60,13 @@
     Box::pin(std::future::ready(result))
 }
 
-impl<T: FakeNews> ClusterFeed for FakeFeed<T> {
+impl<T: FakeTopics> ClusterFeed for FakeFeed<T> {
     fn list(&self, topic: FeedTopic, _: ListAge) -> FeedFuture<'_, FeedList> {
         ready(self.0.list(topic))
     }
 
-    fn list_few(&self, topic: FeedTopic) -> FeedFuture<'_, Option<FeedList>> {
-        ready(Ok(Some(self.0.list_few(topic))))
+    fn list_one_page(&self, topic: FeedTopic) -> FeedFuture<'_, Option<FeedList>> {
+        ready(Ok(Some(self.0.list_one_page(topic))))
     }
 
     fn watch(&self, topic: FeedTopic, after: FeedPosition, wait: Duration) -> FeedFuture<'_, FeedChanges> {
@@ -95,7 +95,7 @@
 }
 
 /// An empty table of routes of a version.
-pub fn write_table(version: u64) -> FeedItem {
+pub fn make_table(version: u64) -> FeedItem {
     let limits = CallerLimits {
         header_bytes: 1_024,
         body_bytes: 1_024,
@@ -107,7 +107,7 @@
 }
 
 /// Settings of a node on a loopback address of its own, with ports that the system does not give out.
-pub fn write_settings(name: &str, cpu_share: f64) -> RouterSettings {
+pub fn make_settings(name: &str, cpu_share: f64) -> RouterSettings {
     let (second, fourth): (u8, u8) = (rand::random(), rand::random_range(1..=254));
     let address = format!("127.{second}.8.{fourth}");
     let text = format!(
--- a/crates/router/tests/late_routes.rs
+++ b/crates/router/tests/late_routes.rs
@@ -11,9 +11,9 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use fakes::{FakeFeed, FakeNews, NoFormat, wait_version, write_settings, write_table};
+use fakes::{FakeFeed, FakeTopics, NoFormat, make_settings, make_table, wait_version};
 use streamfold_model::{CoreShare, Incarnation, NodeEntry, TableVersion};
-use streamfold_router::border::{FeedChanges, FeedFuture, FeedItem, FeedList, FeedPosition, FeedTopic};
+use streamfold_router::interface::{FeedChanges, FeedFuture, FeedItem, FeedList, FeedPosition, FeedTopic};
 use streamfold_router::router_start;
 use streamfold_store::StoreError;
 
@@ -25,14 +25,14 @@
     is_there: bool,
 }
 
-impl FakeNews for MuteNews {
+impl FakeTopics for MuteNews {
     fn list(&self, topic: FeedTopic) -> Result<FeedList, StoreError> {
-        if self.is_there { Ok(self.list_few(topic)) } else { Err(StoreError::Unreachable) }
+        if self.is_there { Ok(self.list_one_page(topic)) } else { Err(StoreError::Unreachable) }
     }
 
-    fn list_few(&self, topic: FeedTopic) -> FeedList {
+    fn list_one_page(&self, topic: FeedTopic) -> FeedList {
         let items = match topic {
-            FeedTopic::Routes => vec![write_table(self.version.load(Ordering::Relaxed))],
+            FeedTopic::Routes => vec![make_table(self.version.load(Ordering::Relaxed))],
             FeedTopic::Nodes => self.nodes.iter().cloned().map(FeedItem::Node).collect(),
             FeedTopic::Servers | FeedTopic::Evacuations | FeedTopic::Crashes => Vec::new(),
         };
@@ -51,7 +51,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn routes_read_from_the_store_after_a_lag_reach_followers() {
-    let (strong, weak) = (write_settings("strong", 1.0), write_settings("weak", 0.2));
+    let (strong, weak) = (make_settings("strong", 1.0), make_settings("weak", 0.2));
     let mut nodes = vec![entry("strong", strong.peers, strong.power()), entry("weak", weak.peers, weak.power())];
     // Among so few that nodes would not follow each other; they are not there.
     let away = SocketAddr::from(([127, 0, 0, 1], 9));
--- a/crates/router/tests/measured_pace.rs
+++ b/crates/router/tests/measured_pace.rs
@@ -11,9 +11,9 @@
 use streamfold_policy::replica::CallSample;
 use streamfold_policy::{Mechanism, MechanismSet, Moment};
 use streamfold_router::batch::ServerPace;
-use streamfold_router::border::{FeedChange, FeedItem, FeedTopic};
-use streamfold_router::cluster::{Cluster, NewsOrigin};
+use streamfold_router::cluster::{Cluster, UpdateOrigin};
 use streamfold_router::cluster_place::ClusterPlace;
+use streamfold_router::interface::{FeedChange, FeedItem, FeedTopic};
 use streamfold_router::pace_report::{take_paces, tell_paces};
 use streamfold_router::server::Server;
 use streamfold_router::settings::SchedulingSettings;
@@ -56,7 +56,7 @@
 
 fn make_cluster(domain: &str, without: &[Mechanism]) -> Cluster {
     let cluster = make_empty_cluster(domain, without);
-    cluster.offer_table(make_table(true), NewsOrigin::Store);
+    cluster.offer_table(make_table(true), UpdateOrigin::Store);
     cluster
 }
 
@@ -84,7 +84,7 @@
         warmup: Duration::ZERO,
     };
     let change = FeedChange::Put(FeedItem::Server(entry));
-    cluster.apply(Moment::default(), vec![change], FeedTopic::Servers, NewsOrigin::Store);
+    cluster.apply(Moment::default(), vec![change], FeedTopic::Servers, UpdateOrigin::Store);
 }
 
 fn servers(cluster: &Cluster, now: Moment) -> Vec<Arc<Server>> {
@@ -155,7 +155,7 @@
 #[test]
 fn servers_of_a_service_that_answers_alone_are_not_compared() {
     let cluster = make_empty_cluster("zone-a", &[]);
-    cluster.offer_table(make_table(false), NewsOrigin::Store);
+    cluster.offer_table(make_table(false), UpdateOrigin::Store);
     ["i-1", "i-2", "i-3"].iter().for_each(|id| tell(&cluster, id, 1, false));
     make_slow_calls(&find(&cluster, "i-1"));
     assert!((dearness(&cluster, ms(300)) - 1.0).abs() < 1e-6);
--- a/crates/router/tests/panicked.rs
+++ b/crates/router/tests/panicked.rs
@@ -11,7 +11,7 @@
 
 use http::{HeaderMap, HeaderValue, StatusCode};
 use streamfold_model::{ContentId, CrashEntry, NodeEntry, ServerId, TeamName};
-use streamfold_router::border::{
+use streamfold_router::interface::{
     CallFormat, CallerHead, ClusterFeed, EntryRevision, FeedChanges, FeedFuture, FeedList, FeedPosition, FeedTopic,
     HeadError, ListAge, ReplyHead,
 };
@@ -39,7 +39,7 @@
         unreachable!("nothing is sent to servers")
     }
 
-    fn write_folded(&self, _: &mut HeaderMap, _: &[HeaderValue], _: usize) {}
+    fn write_gathered(&self, _: &mut HeaderMap, _: &[HeaderValue], _: usize) {}
 
     fn write_retry(&self, _: &mut HeaderMap, _: Duration) {}
 
@@ -60,7 +60,7 @@
         away()
     }
 
-    fn list_few(&self, _: FeedTopic) -> FeedFuture<'_, Option<FeedList>> {
+    fn list_one_page(&self, _: FeedTopic) -> FeedFuture<'_, Option<FeedList>> {
         away()
     }
 
--- a/crates/router/tests/quiet_watches.rs
+++ b/crates/router/tests/quiet_watches.rs
@@ -8,9 +8,9 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use fakes::{FakeFeed, FakeNews, NoFormat, wait_version, write_settings, write_table};
+use fakes::{FakeFeed, FakeTopics, NoFormat, make_settings, make_table, wait_version};
 use streamfold_model::TimeSpan;
-use streamfold_router::border::{FeedChange, FeedChanges, FeedFuture, FeedList, FeedPosition, FeedTopic};
+use streamfold_router::interface::{FeedChange, FeedChanges, FeedFuture, FeedList, FeedPosition, FeedTopic};
 use streamfold_router::router_start;
 use streamfold_store::StoreError;
 
@@ -32,18 +32,18 @@
 
     fn changes_after(&self, position: FeedPosition) -> FeedChanges {
         let told = self.told();
-        let changes = if told > position { vec![FeedChange::Put(write_table(told.0))] } else { Vec::new() };
+        let changes = if told > position { vec![FeedChange::Put(make_table(told.0))] } else { Vec::new() };
         FeedChanges { changes, position: told }
     }
 }
 
-impl FakeNews for SilentNews {
+impl FakeTopics for SilentNews {
     fn list(&self, topic: FeedTopic) -> Result<FeedList, StoreError> {
-        Ok(self.list_few(topic))
+        Ok(self.list_one_page(topic))
     }
 
-    fn list_few(&self, topic: FeedTopic) -> FeedList {
-        let items = if topic == FeedTopic::Routes { vec![write_table(self.told().0)] } else { Vec::new() };
+    fn list_one_page(&self, topic: FeedTopic) -> FeedList {
+        let items = if topic == FeedTopic::Routes { vec![make_table(self.told().0)] } else { Vec::new() };
         FeedList { items, position: self.told() }
     }
 
@@ -69,7 +69,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_silent_watch_of_routes_is_renewed_when_another_watch_tells_of_a_change_and_not_before() {
-    let mut settings = write_settings("own", 1.0);
+    let mut settings = make_settings("own", 1.0);
     settings.silence_within = TimeSpan(SILENCE);
     let feed = Arc::new(FakeFeed(SilentNews { changes: AtomicU64::new(1), ..SilentNews::default() }));
     let running = router_start::start(settings, Arc::new(NoFormat), feed.clone(), String::new).await.expect("a node");
