--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -88,7 +88,7 @@
 ) -> Response {
     let id = RequestId(rand::random());
     let started = node.clock.now();
-    let answered = task::guard(answer_query(&node, id, &index, parameters.as_deref(), request)).await;
+    let answered = task::catch_panic(answer_query(&node, id, &index, parameters.as_deref(), request)).await;
     let result = answered.unwrap_or(Err(CallerError::NodeFault));
     finish(&node, id, "query", &index, started, result)
 }
@@ -134,7 +134,7 @@
 async fn order(State(node): State<Arc<Node>>, Path(index): Path<String>, request: Request<Body>) -> Response {
     let id = RequestId(rand::random());
     let started = node.clock.now();
-    let answered = task::guard(answer_order(&node, id, &index, request)).await;
+    let answered = task::catch_panic(answer_order(&node, id, &index, request)).await;
     let result = answered.unwrap_or(Err(CallerError::NodeFault));
     finish(&node, id, "order", &index, started, result)
 }
--- a/crates/router/src/attempt_context.rs
+++ b/crates/router/src/attempt_context.rs
@@ -17,15 +17,15 @@
 
 use crate::attempts::{AttemptStop, ServiceAttempts};
 use crate::call::{self, EndedCall, SentMark};
-use crate::call_line::CallPlace;
+use crate::call_line::QueueEntry;
 use crate::canary::CanaryCall;
 use crate::cluster_view::{ClusterView, RouteTimes, Service};
 use crate::hedge::FarHedge;
-use crate::line_choice::{CallRoom, ServerChoice};
 use crate::quarantine;
 use crate::request::CallerRequest;
 use crate::router::Router;
 use crate::server::Server;
+use crate::server_choice::{CapacityNotice, ServerChoice};
 
 /// Added to the cost of a server whose entry is gone: any other that answers goes first.
 const DOUBT_COST_US: f64 = 1e9;
@@ -85,7 +85,7 @@
     /// It ended after so long.
     Ended(Duration, EndedCall),
     /// It has waited and is called up; without a place it has waited too long.
-    CalledUp(Option<CallPlace>),
+    CalledUp(Option<QueueEntry>),
 }
 
 /// A call in flight, or one that waits; it resolves to the position of its service among the request's.
@@ -182,7 +182,7 @@
                 return Err(AttemptStop::Canary);
             }
         }
-        let choice = self.choose_now(attempts, service, place).ok_or(AttemptStop::NoneLeft)?;
+        let choice = self.choose_server(attempts, service, place).ok_or(AttemptStop::NoneLeft)?;
         let (server, place) = match choice {
             ServerChoice::Now(server, place) => (server, place),
             ServerChoice::Wait(None) => return Err(AttemptStop::Waiting),
@@ -207,7 +207,7 @@
         attempts.is_overdue = false;
         attempts.is_handed = false;
         attempts.watch_silence(&server, attempts.started);
-        let patience = self.times.patience(server.distance, self.route.target_latency);
+        let patience = self.times.hedge_delay(server.distance, self.route.target_latency);
         attempts.hedge_at = (!self.is_once()).then(|| attempts.started.plus(patience));
         calls.push(self.call(position, server, mark));
         if let Some(place) = place {
@@ -307,7 +307,7 @@
         let running = call::run(self.router.clone(), server, self.request.clone(), self.is_once(), mark, typical);
         let clock = self.router.clock;
         let started = self.now();
-        let room = line.map(|line| CallRoom { line, clock });
+        let room = line.map(|line| CapacityNotice { line, clock });
         let timed = async move {
             let _room = room;
             let ended = running.await;
--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -12,7 +12,7 @@
 use streamfold_policy::server_bound::SendPermission;
 
 use crate::call::{CallFailure, SentMark};
-use crate::call_line::CallPlace;
+use crate::call_line::QueueEntry;
 use crate::server::Server;
 
 /// Why no further server is asked.
@@ -85,7 +85,7 @@
     /// Whether a call waits for a server; it counts as none until it is sent.
     pub(crate) is_waiting: bool,
     /// The place of a call that is called up.
-    pub(crate) place: Option<CallPlace>,
+    pub(crate) place: Option<QueueEntry>,
     /// When the newest call started.
     pub(crate) started: Moment,
     /// When the newest call counts as overdue, or a hedge is looked at again.
@@ -145,7 +145,7 @@
     pub(crate) fn note_silence(&mut self, now: Moment) {
         let Some(watch) = self.silence.take_if(|watch| watch.ends_at() <= now) else { return };
         if self.calls.iter().any(|(called, _)| *called == watch.server.run()) {
-            watch.server.note_silent(now, watch.started);
+            watch.server.note_domain_overdue(now, watch.started);
         }
     }
 
@@ -270,7 +270,7 @@
     /// Whether an answer may still come, as far as is known: not where every server asked is in a
     /// failure domain that cannot be reached.
     pub fn is_expected(&self, now: Moment) -> bool {
-        self.is_open() && (self.is_planned() || self.tried.iter().any(|server| !server.is_dark(now)))
+        self.is_open() && (self.is_planned() || self.tried.iter().any(|server| !server.is_unreachable(now)))
     }
 
     /// When something is to be done for it.
--- a/crates/router/src/call.rs
+++ b/crates/router/src/call.rs
@@ -159,13 +159,13 @@
     let leased = server.lease(now, is_once, CONNECT_TIMEOUT).await;
     let mut leased = leased.map_err(|error| {
         match error.kind() {
-            ErrorKind::TimedOut => server.note_silent(router.clock.now(), now),
+            ErrorKind::TimedOut => server.note_domain_overdue(router.clock.now(), now),
             // The machine answered, if by a refusal.
             ErrorKind::ConnectionRefused => {
-                server.note_heard(router.clock.now());
+                server.note_contact(router.clock.now());
                 crash_check::note_refused(router, server);
             }
-            ErrorKind::ConnectionReset => server.note_heard(router.clock.now()),
+            ErrorKind::ConnectionReset => server.note_contact(router.clock.now()),
             _ => {}
         }
         tracing::debug!(event = "server_unreachable", server = %server.id, %error);
@@ -180,7 +180,7 @@
         return Err(CallFailure::NotSent);
     }
     mark.set();
-    let mut work = server.begin_work(router.clock, request.suspect);
+    let mut work = server.start_work(router.clock, request.suspect);
     let built = request.build(&*router.format, &server.id, left);
     let response = leased.connection.exchange(built, MAX_ANSWER_LEN).await.map_err(|error| match error {
         ExchangeError::NotSent => CallFailure::NotSent,
@@ -190,7 +190,7 @@
         }
         ExchangeError::Lost => CallFailure::Unknown,
     })?;
-    server.note_heard(router.clock.now());
+    server.note_contact(router.clock.now());
     work.note_answered();
     let (parts, body) = response.into_parts();
     let reply = router.format.read_reply(&request.id, parts.status, &parts.headers);
@@ -222,7 +222,7 @@
     if let Some(load) = reply.load {
         server.state().record_load(now, load.running, load.waiting);
         if let Some(pace) = load.pace {
-            server.learn_pace(now, pace);
+            server.record_reported_pace(now, pace);
         }
     }
 }
--- a/crates/router/src/times.rs
+++ b/crates/router/src/call_latencies.rs
@@ -22,11 +22,11 @@
 
 /// Latencies of a route's calls to servers.
 #[derive(Debug, Default)]
-pub struct CallTimes {
+pub struct CallLatencies {
     tracks: Mutex<[LatencyHistogram; 3]>,
 }
 
-impl CallTimes {
+impl CallLatencies {
     fn tracks(&self) -> MutexGuard<'_, [LatencyHistogram; 3]> {
         self.tracks.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -48,7 +48,7 @@
     }
 
     /// The time after which a call is overdue.
-    pub fn patience(&self, distance: Distance, target: Duration) -> Duration {
+    pub fn hedge_delay(&self, distance: Distance, target: Duration) -> Duration {
         let measured = self.quantile(distance, PATIENCE_QUANTILE);
         let patience = measured.unwrap_or(target.mul_f64(ASSUMED_PATIENCE_SHARE));
         patience.clamp(target.mul_f64(MIN_PATIENCE_SHARE), target.mul_f64(MAX_PATIENCE_SHARE))
--- a/crates/router/src/call_line.rs
+++ b/crates/router/src/call_line.rs
@@ -14,7 +14,7 @@
 
 use crate::call_waits::{CallWaits, priority_label};
 use crate::clock::NodeClock;
-use crate::contention::LineRule;
+use crate::contention::QueueRule;
 
 /// How often waiting calls look for room although no call has ended, since what servers told fades; and how long one
 /// that is called up may take. Its request is usually woken within a fraction of a millisecond.
@@ -24,7 +24,7 @@
 const MAX_PASSED: u32 = 4;
 
 /// A call in the line.
-struct LineEntry {
+struct QueuedCall {
     call: WaitingCall,
     wake: Arc<Notify>,
     /// The round in which it last looked for room.
@@ -33,15 +33,15 @@
     is_asleep: bool,
 }
 
-type LineWork = WaitingWork<Moment, LineEntry>;
+type CallWork = WaitingWork<Moment, QueuedCall>;
 
-struct LineState {
-    rule: LineRule,
+struct QueueState {
+    rule: QueueRule,
     order: Box<dyn CallOrder>,
     /// The latest start first; the order goes before that.
-    line: WaitQueue<Moment, LineEntry>,
+    line: WaitQueue<Moment, QueuedCall>,
     /// The call that is called up, and since when.
-    called: Option<(LineWork, Moment)>,
+    called: Option<(CallWork, Moment)>,
     /// Counts the moments at which there may have been room anew.
     round: u64,
     passed: u32,
@@ -50,19 +50,19 @@
 }
 
 /// Calls that wait for a service.
-pub struct CallLine {
+pub struct CallQueue {
     service: ServiceName,
     waits: Arc<CallWaits>,
-    state: Mutex<LineState>,
+    state: Mutex<QueueState>,
 }
 
-impl LineState {
+impl QueueState {
     fn is_busy(&self) -> bool {
         self.called.is_some() || !self.line.is_empty()
     }
 
     /// Notes that there may be room.
-    fn note_room(&mut self, now: Moment) {
+    fn note_capacity(&mut self, now: Moment) {
         self.round += 1;
         self.passed = 0;
         self.round_began = now;
@@ -97,16 +97,16 @@
     }
 
     /// Takes out the call that is called up, if it is the one of a place.
-    fn take_called(&mut self, place: WaitId) -> Option<LineWork> {
+    fn take_called(&mut self, place: WaitId) -> Option<CallWork> {
         let (work, _) = self.called.take_if(|(work, _)| work.id == place)?;
         Some(work)
     }
 }
 
-impl CallLine {
+impl CallQueue {
     /// A line in which nothing waits.
-    pub fn new(service: ServiceName, rule: LineRule, waits: Arc<CallWaits>) -> Arc<Self> {
-        let state = LineState {
+    pub fn new(service: ServiceName, rule: QueueRule, waits: Arc<CallWaits>) -> Arc<Self> {
+        let state = QueueState {
             rule,
             order: rule.order(),
             line: WaitQueue::default(),
@@ -118,12 +118,12 @@
         Arc::new(Self { service, waits, state: Mutex::new(state) })
     }
 
-    fn state(&self) -> MutexGuard<'_, LineState> {
+    fn state(&self) -> MutexGuard<'_, QueueState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Puts another rule in force; calls keep their places.
-    pub fn set_rule(&self, rule: LineRule) {
+    pub fn set_rule(&self, rule: QueueRule) {
         let mut state = self.state();
         if state.rule != rule {
             state.rule = rule;
@@ -154,20 +154,20 @@
     }
 
     /// Notes that there may be room for a call.
-    pub fn note_room(&self, now: Moment) {
-        self.state().note_room(now);
+    pub fn note_capacity(&self, now: Moment) {
+        self.state().note_capacity(now);
     }
 
     /// Notes that a call began without waiting.
-    pub fn note_at_once(&self, now: Moment, priority: Priority) {
+    pub fn note_immediate(&self, now: Moment, priority: Priority) {
         self.waits.note(now, priority, Duration::ZERO);
     }
 
     /// Puts a call into the line that has looked for room in a round; 0 if it has not looked.
-    pub fn join(self: &Arc<Self>, clock: NodeClock, call: WaitingCall, looked_in: u64, request: &str) -> CallPlace {
+    pub fn push(self: &Arc<Self>, clock: NodeClock, call: WaitingCall, looked_in: u64, request: &str) -> QueueEntry {
         let now = clock.now();
         let wake = Arc::new(Notify::new());
-        let entry = LineEntry { call: call.clone(), wake: wake.clone(), looked_in, is_asleep: false };
+        let entry = QueuedCall { call: call.clone(), wake: wake.clone(), looked_in, is_asleep: false };
         let mut state = self.state();
         let ahead = state.line.len() + usize::from(state.called.is_some());
         state.order.note_joined(now, &call);
@@ -176,14 +176,14 @@
         state.call_up(now);
         drop(state);
         metrics::gauge!("streamfold_waiting_calls").increment(1.0);
-        CallPlace { line: self.clone(), clock, place, wake, call, ahead, request: request.to_owned(), outcome: None }
+        QueueEntry { line: self.clone(), clock, place, wake, call, ahead, request: request.to_owned(), outcome: None }
     }
 
     /// Lets waiting calls look for room if none has for a while.
     fn look_again(&self, now: Moment) {
         let mut state = self.state();
         if now.since(state.round_began) >= LOOK_AGAIN {
-            state.note_room(now);
+            state.note_capacity(now);
         }
     }
 }
@@ -196,8 +196,8 @@
 }
 
 /// A call's place in the line, which is given up when this is dropped.
-pub struct CallPlace {
-    line: Arc<CallLine>,
+pub struct QueueEntry {
+    line: Arc<CallQueue>,
     clock: NodeClock,
     place: WaitId,
     wake: Arc<Notify>,
@@ -207,7 +207,7 @@
     outcome: Option<WaitOutcome>,
 }
 
-impl CallPlace {
+impl QueueEntry {
     /// Waits until it is called up; `None` if it expired before.
     pub async fn wait(mut self) -> Option<Self> {
         loop {
@@ -234,11 +234,11 @@
             entry.is_asleep = false;
         }
         drop(state);
-        self.is_called()
+        self.is_selected()
     }
 
     /// Whether it is called up; one that took too long is not any more.
-    pub fn is_called(&self) -> bool {
+    pub fn is_selected(&self) -> bool {
         let state = self.line.state();
         state.called.as_ref().is_some_and(|(work, _)| work.id == self.place)
     }
@@ -260,15 +260,15 @@
         state.call_up(now);
     }
 
-    /// Goes back to its place, since there is no server that it can use; `has_room` tells whether there may be one for
+    /// Goes back to its place, since there is no server that it can use; `has_capacity` tells whether there may be one for
     /// another call.
-    pub fn rejoin(&self, has_room: bool) {
+    pub fn requeue(&self, has_capacity: bool) {
         let mut state = self.line.state();
         let Some(work) = state.take_called(self.place) else { return };
         let is_room_new = work.item.looked_in < state.round;
         state.line.requeue(work);
         state.passed += 1;
-        if has_room || is_room_new {
+        if has_capacity || is_room_new {
             state.call_up(self.clock.now());
         }
     }
@@ -292,7 +292,7 @@
     }
 }
 
-impl Drop for CallPlace {
+impl Drop for QueueEntry {
     fn drop(&mut self) {
         let now = self.clock.now();
         let waited = now.since(self.call.joined);
--- a/crates/router/src/cluster.rs
+++ b/crates/router/src/cluster.rs
@@ -13,7 +13,7 @@
 
 use crate::border::{FeedChange, FeedItem, FeedTopic, RemovedEntry};
 use crate::cluster_parts::ClusterParts;
-use crate::cluster_place::ClusterPlace;
+use crate::cluster_place::NodeContext;
 use crate::cluster_view::ClusterView;
 use crate::evacuation::EvacuationList;
 use crate::quarantine::CrashQuarantine;
@@ -50,7 +50,7 @@
 
 /// What a node knows of the cluster.
 pub struct Cluster {
-    place: ClusterPlace,
+    place: NodeContext,
     generation: AtomicU64,
     parts: Mutex<ClusterParts>,
     view: ArcSwap<ClusterView>,
@@ -60,7 +60,7 @@
 
 impl Cluster {
     /// A cluster of which nothing is known yet.
-    pub fn new(place: ClusterPlace) -> Self {
+    pub fn new(place: NodeContext) -> Self {
         let parts = ClusterParts::default();
         let view = ArcSwap::from_pointee(parts.build_view(&place));
         let quarantine = CrashQuarantine::default();
@@ -73,7 +73,7 @@
     }
 
     /// Where this node stands.
-    pub fn place(&self) -> &ClusterPlace {
+    pub fn place(&self) -> &NodeContext {
         &self.place
     }
 
@@ -283,7 +283,7 @@
                 let gone = name.parse::<NodeId>().ok().and_then(|node| parts.nodes.remove(&node));
                 let Some(gone) = gone else { return false };
                 tracing::info!(event = "node_gone", node = name);
-                parts.gone_nodes.push((gone, now.plus(self.place.spent_for)));
+                parts.gone_nodes.push((gone, now.plus(self.place.extra_call_window)));
                 true
             }
             FeedTopic::Servers => {
--- a/crates/router/src/cluster_parts.rs
+++ b/crates/router/src/cluster_parts.rs
@@ -14,9 +14,9 @@
 use streamfold_policy::placement;
 use streamfold_policy::split_rule::SplitSelector;
 
-use crate::call_line::CallLine;
+use crate::call_line::CallQueue;
 use crate::call_waits::CallWaits;
-use crate::cluster_place::ClusterPlace;
+use crate::cluster_place::NodeContext;
 use crate::cluster_view::{ClusterView, NodeCount, RouteTimes, Service};
 use crate::contention::find_contended;
 use crate::domain::DomainState;
@@ -24,7 +24,7 @@
 use crate::lenders::choose_lenders;
 use crate::peers::PeerNode;
 use crate::server::{Server, ServerShared};
-use crate::spell_book::SpellBook;
+use crate::slow_periods::SlowPeriodTracker;
 
 /// Nodes of each other failure domain that a node keeps links to.
 const PEERS_PER_DOMAIN: usize = 4;
@@ -40,14 +40,14 @@
     /// Extra calls spent, by service.
     pub(crate) budgets: HashMap<ServiceName, Arc<Mutex<ExtraBudget>>>,
     /// Calls that wait, by service, where calls do.
-    lines: HashMap<ServiceName, Arc<CallLine>>,
+    lines: HashMap<ServiceName, Arc<CallQueue>>,
     waits: Arc<CallWaits>,
     /// Services that requests of different priority use.
     mixed: Arc<HashSet<ServiceName>>,
     times: HashMap<RouteName, RouteTimes>,
     turns: HashMap<RouteName, Arc<SplitSelector>>,
     /// How long servers stay slow.
-    spells: Arc<SpellBook>,
+    slow_periods: Arc<SlowPeriodTracker>,
     /// Failure domains that have, or had, servers or nodes.
     domains: HashMap<FailureDomain, Arc<DomainState>>,
     /// The evacuated failure domains, once anybody has told.
@@ -61,7 +61,7 @@
 
 impl ClusterParts {
     /// What is known of a failure domain.
-    fn domain(&mut self, name: &FailureDomain, place: &ClusterPlace) -> Arc<DomainState> {
+    fn domain(&mut self, name: &FailureDomain, place: &NodeContext) -> Arc<DomainState> {
         let is_evacuated = self.evacuations.as_ref().is_some_and(|list| list.domains.contains(name));
         let make = || {
             let domain = DomainState::new(name, place);
@@ -77,9 +77,9 @@
     }
 
     /// What a server in a failure domain shares with others.
-    pub(crate) fn share(&mut self, domain: &FailureDomain, place: &ClusterPlace) -> ServerShared {
+    pub(crate) fn share(&mut self, domain: &FailureDomain, place: &NodeContext) -> ServerShared {
         let domain = self.domain(domain, place);
-        ServerShared { domain, spells: self.spells.clone(), mechanisms: place.mechanisms }
+        ServerShared { domain, slow_periods: self.slow_periods.clone(), mechanisms: place.mechanisms }
     }
 
     /// Puts a list of evacuated failure domains in force. The servers of one that is given back count as
@@ -127,7 +127,7 @@
 
     /// Chooses the nodes to keep links to, a few owners of each failure domain, so that links grow
     /// with domains and not with nodes. In its own domain a node keeps links only to stronger ones.
-    pub(crate) fn choose_peers(&mut self, place: &ClusterPlace) {
+    pub(crate) fn choose_peers(&mut self, place: &NodeContext) {
         let domains: BTreeSet<FailureDomain> = self.nodes.values().map(|entry| entry.domain.clone()).collect();
         let states = domains.into_iter().map(|domain| (domain.clone(), self.domain(&domain, place)));
         let states: HashMap<FailureDomain, Arc<DomainState>> = states.collect();
@@ -192,11 +192,11 @@
 
     /// Goes on with the lines of services whose calls wait in the new version too. Calls in another line go on
     /// waiting there, and look for room by themselves.
-    pub(crate) fn keep_lines(&mut self, table: &RouteTable, place: &ClusterPlace) {
+    pub(crate) fn keep_lines(&mut self, table: &RouteTable, place: &NodeContext) {
         let mut old = std::mem::take(&mut self.lines);
         self.mixed = Arc::new(table.mixed_priority_services());
         for (service, rule) in find_contended(table, &self.mixed, place) {
-            let make = || CallLine::new(service.clone(), rule, self.waits.clone());
+            let make = || CallQueue::new(service.clone(), rule, self.waits.clone());
             let line = old.remove(&service).unwrap_or_else(make);
             line.set_rule(rule);
             self.lines.insert(service, line);
@@ -255,7 +255,7 @@
     }
 
     /// The view of all this.
-    pub(crate) fn build_view(&self, place: &ClusterPlace) -> ClusterView {
+    pub(crate) fn build_view(&self, place: &NodeContext) -> ClusterView {
         let mut services: HashMap<ServiceName, Service> = HashMap::new();
         let shards = self.find_shards();
         for server in self.servers.values().filter(|server| !server.is_leaving()) {
--- a/crates/router/src/cluster_place.rs
+++ b/crates/router/src/cluster_place.rs
@@ -10,7 +10,7 @@
 use crate::settings::{ColdCallSettings, SchedulingSettings};
 
 /// Where a node stands among failure domains.
-pub struct ClusterPlace {
+pub struct NodeContext {
     /// This node.
     pub node: NodeId,
     /// Its failure domain.
@@ -19,7 +19,7 @@
     pub regions: HashMap<FailureDomain, RegionName>,
     /// How long a node that is gone may have spent of what all nodes share: the window in which
     /// extra calls are counted.
-    pub spent_for: Duration,
+    pub extra_call_window: Duration,
     /// The bound on calls to cold servers, if there is one.
     pub cold_calls: Option<ColdCallSettings>,
     /// Decisions where callers compete for room.
@@ -28,7 +28,7 @@
     pub mechanisms: MechanismSet,
 }
 
-impl ClusterPlace {
+impl NodeContext {
     /// The region of a failure domain, if the settings tell.
     pub fn region(&self, domain: &FailureDomain) -> Option<&RegionName> {
         self.regions.get(domain)
--- a/crates/router/src/cluster_view.rs
+++ b/crates/router/src/cluster_view.rs
@@ -14,12 +14,12 @@
 use streamfold_policy::shard_health::ServiceHealth;
 use streamfold_policy::split_rule::SplitSelector;
 
-use crate::call_line::CallLine;
+use crate::call_latencies::CallLatencies;
+use crate::call_line::CallQueue;
 use crate::call_waits::CallWaits;
 use crate::peers::PeerNode;
 use crate::server::Server;
 use crate::settings::ColdCallSettings;
-use crate::times::CallTimes;
 
 /// Servers of a shard from which on the measured pace chooses among them: between two a second call tells as much. A
 /// node calls a service that answers alone too seldom, and its work spreads too widely, to tell a pace from luck.
@@ -39,7 +39,7 @@
     /// Whether it has, or had until some left, enough servers to choose among them by their measured pace.
     is_compared: bool,
     budget: Arc<Mutex<ExtraBudget>>,
-    line: Option<Arc<CallLine>>,
+    line: Option<Arc<CallQueue>>,
 }
 
 impl Service {
@@ -48,7 +48,7 @@
         name: ServiceName,
         is_shard: bool,
         budget: Arc<Mutex<ExtraBudget>>,
-        line: Option<Arc<CallLine>>,
+        line: Option<Arc<CallQueue>>,
     ) -> Self {
         Self { name, servers: Vec::new(), domains: BTreeSet::new(), is_shard, is_compared: false, budget, line }
     }
@@ -62,7 +62,7 @@
 
     /// The servers that a request with these homes may be sent to.
     pub fn usable<'a>(&'a self, now: Moment, homes: &'a AllowedRegions) -> impl Iterator<Item = &'a Arc<Server>> {
-        self.servers.iter().filter(move |server| server.find_bar(now, homes).is_none())
+        self.servers.iter().filter(move |server| server.find_exclusion(now, homes).is_none())
     }
 
     /// Its servers, whatever bars them.
@@ -77,25 +77,26 @@
 
     /// How many of its servers are good ones now.
     pub(crate) fn standing(&self, now: Moment) -> ServiceHealth {
-        let is_good = |server: &&Arc<Server>| !server.is_doubtful() && !server.is_dark(now) && !server.is_slow(now);
+        let is_good =
+            |server: &&Arc<Server>| !server.is_doubtful() && !server.is_unreachable(now) && !server.is_slow(now);
         ServiceHealth { servers: self.servers.len(), good: self.servers.iter().filter(is_good).count() }
     }
 
     /// Where its calls wait, if they do.
-    pub fn line(&self) -> Option<&Arc<CallLine>> {
+    pub fn line(&self) -> Option<&Arc<CallQueue>> {
         self.line.as_ref()
     }
 
     /// Whether a call of some request may find room at one of its servers.
-    pub fn has_room(&self, now: Moment) -> bool {
-        let live = self.servers.iter().filter(|server| !server.is_leaving() && !server.is_dark(now));
-        live.filter(|server| server.has_room(now)).any(|server| !server.state().is_avoided(now))
+    pub fn has_capacity(&self, now: Moment) -> bool {
+        let live = self.servers.iter().filter(|server| !server.is_leaving() && !server.is_unreachable(now));
+        live.filter(|server| server.has_capacity(now)).any(|server| !server.state().is_avoided(now))
     }
 
     /// How many of its servers each bar keeps requests with these homes from, for the log.
     pub fn count_bars(&self, now: Moment, homes: &AllowedRegions) -> BTreeMap<ServerExclusion, usize> {
         let mut counts = BTreeMap::new();
-        for bar in self.servers.iter().filter_map(|server| server.find_bar(now, homes)) {
+        for bar in self.servers.iter().filter_map(|server| server.find_exclusion(now, homes)) {
             *counts.entry(bar).or_default() += 1;
         }
         counts
@@ -108,7 +109,7 @@
 }
 
 /// Latencies of one route's calls to servers.
-pub type RouteTimes = Arc<CallTimes>;
+pub type RouteTimes = Arc<CallLatencies>;
 
 /// Nodes of a failure domain.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -193,8 +194,8 @@
             service.servers.iter().for_each(|server| server.state().set_comparable(service.is_compared));
         }
         for server in self.services.values().flat_map(|service| &service.servers) {
-            server.set_share(self.connection_share(server));
-            server.set_cold_share(cold_calls.and_then(|cold| self.cold_share(server, node, cold)));
+            server.set_connection_limit(self.connection_share(server));
+            server.set_cold_quota(cold_calls.and_then(|cold| self.cold_share(server, node, cold)));
         }
     }
 
--- a/crates/router/src/connection_pool.rs
+++ b/crates/router/src/connection_pool.rs
@@ -77,7 +77,7 @@
     }
 
     /// Sets how many connections there may be.
-    pub fn set_share(&self, share: u32) {
+    pub fn set_connection_limit(&self, share: u32) {
         self.count.share.store(share, Ordering::Relaxed);
     }
 
--- a/crates/router/src/contention.rs
+++ b/crates/router/src/contention.rs
@@ -6,16 +6,16 @@
 use streamfold_policy::Mechanism;
 use streamfold_policy::call_order::{CallOrder, PriorityOrder};
 
-use crate::cluster_place::ClusterPlace;
+use crate::cluster_place::NodeContext;
 
 /// How calls that wait for a service are ordered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LineRule {
+pub struct QueueRule {
     /// Whether teams take turns among calls of one priority.
     pub by_team: bool,
 }
 
-impl LineRule {
+impl QueueRule {
     /// The order of a new line.
     pub fn order(self) -> Box<dyn CallOrder> {
         let order = PriorityOrder::default();
@@ -28,8 +28,8 @@
 pub fn find_contended(
     table: &RouteTable,
     mixed: &HashSet<ServiceName>,
-    place: &ClusterPlace,
-) -> HashMap<ServiceName, LineRule> {
+    place: &NodeContext,
+) -> HashMap<ServiceName, QueueRule> {
     if !place.mechanisms.has(Mechanism::CallQueues) {
         return HashMap::new();
     }
@@ -39,5 +39,5 @@
     let keyed =
         table.routes().iter().filter(|route| by_team && !route.is_auth_exempt).flat_map(|route| route.services());
     let by_priority = mixed.iter().filter(|_| place.scheduling.by_priority);
-    keyed.chain(by_priority).map(|service| (service.clone(), LineRule { by_team })).collect()
+    keyed.chain(by_priority).map(|service| (service.clone(), QueueRule { by_team })).collect()
 }
--- a/crates/router/src/delegate.rs
+++ b/crates/router/src/delegate.rs
@@ -221,7 +221,7 @@
         let now = self.now();
         let BatchOrder { peer, positions, shards, mode } = order;
         let way = way(peer.domain.distance);
-        let patience = self.times.patience(Distance::Domain, self.route.target_latency);
+        let patience = self.times.hedge_delay(Distance::Domain, self.route.target_latency);
         let alive_within = patience.min(MAX_ALIVE);
         let target = self.request.started.plus(rule.target.min(rule.limit));
         let reply_within = match mode {
--- a/crates/router/src/domain.rs
+++ b/crates/router/src/domain.rs
@@ -10,7 +10,7 @@
 use streamfold_policy::replica::Distance;
 use streamfold_policy::{Mechanism, Moment};
 
-use crate::cluster_place::ClusterPlace;
+use crate::cluster_place::NodeContext;
 
 /// A failure domain as a node sees it.
 pub struct DomainState {
@@ -28,7 +28,7 @@
 
 impl DomainState {
     /// A failure domain of which nothing is known but its place.
-    pub fn new(name: &FailureDomain, place: &ClusterPlace) -> Self {
+    pub fn new(name: &FailureDomain, place: &NodeContext) -> Self {
         Self {
             name: name.clone(),
             region: place.region(name).cloned(),
@@ -54,12 +54,12 @@
     }
 
     /// Whether nothing there is believed to answer now.
-    pub fn is_dark(&self, now: Moment) -> bool {
+    pub fn is_unreachable(&self, now: Moment) -> bool {
         self.is_watched && self.reach().is_unreachable(now)
     }
 
     /// Notes that anything was heard from there.
-    pub fn note_heard(&self, now: Moment) {
+    pub fn note_contact(&self, now: Moment) {
         if !self.is_watched {
             return;
         }
@@ -71,22 +71,22 @@
     }
 
     /// Notes that a node there was asked for a sign of life in vain.
-    pub fn note_no_sign(&self, now: Moment) {
+    pub fn note_probe_failure(&self, now: Moment) {
         self.reach().note_probe_failure(now);
     }
 
     /// Whether anything was heard from there within a span.
-    pub fn was_heard_within(&self, now: Moment, span: Duration) -> bool {
+    pub fn had_contact_within(&self, now: Moment, span: Duration) -> bool {
         self.reach().had_contact_within(now, span)
     }
 
     /// Notes that a server or node there is overdue with a call that began at a moment.
-    pub fn note_silent(&self, now: Moment, started: Moment, who: &str) {
-        self.note_silent_in(now, started, who, SilenceContext::NoneUnreachable);
+    pub fn note_overdue(&self, now: Moment, started: Moment, who: &str) {
+        self.note_overdue_in(now, started, who, SilenceContext::NoneUnreachable);
     }
 
     /// The same, with what else is believed.
-    pub fn note_silent_in(&self, now: Moment, started: Moment, who: &str, context: SilenceContext) {
+    pub fn note_overdue_in(&self, now: Moment, started: Moment, who: &str, context: SilenceContext) {
         if self.is_watched && self.reach().note_overdue(now, started, who, context) {
             metrics::counter!("streamfold_dark_failure_domains_total").increment(1);
             tracing::warn!(event = "failure_domain_dark", failure_domain = %self.name, last = who);
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -125,7 +125,7 @@
     let usable = service.into_iter().flat_map(|service| service.usable(now, &context.homes));
     let outlooks = usable.map(|server| {
         let typical = context.times.typical(server.distance, context.route.target_latency);
-        server.outlook(now, typical)
+        server.estimate_finish(now, typical)
     });
     ShardEstimate::of(outlooks, left)
 }
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -13,7 +13,7 @@
 use crate::relay::{FeedSource, RelayFrame};
 use crate::router::Router;
 use crate::store_call::{self, CallReason};
-use crate::store_turn::{choose_pause, is_refused_by};
+use crate::store_turn::{backoff_delay, is_refusal_error};
 
 /// Pauses after changes, in which more of them may come that one call then brings. A server
 /// that leaves must get no request 3 s after; nodes matter little from one second to the next.
@@ -87,7 +87,7 @@
         }
         tracing::info!(event = "routes_behind", version = %router.cluster.version());
         let list = router.feed.list(FeedTopic::Routes, ListAge::Fresh);
-        match store_call::make(FeedTopic::Routes, CallReason::Behind, list).await {
+        match store_call::run(FeedTopic::Routes, CallReason::Behind, list).await {
             Ok(list) => {
                 router.cluster.replace(router.clock.now(), list.items.clone(), FeedTopic::Routes, NewsOrigin::Store);
                 // Who follows this node would not hear of them: what it has, its own reader leaves out.
@@ -119,7 +119,7 @@
         let router = &self.router;
         let watch = router.feed.watch(self.topic, position, self.watch_wait(position));
         let news = tokio::select! {
-            news = store_call::make(self.topic, CallReason::Watch, watch) => news?,
+            news = store_call::run(self.topic, CallReason::Watch, watch) => news?,
             () = self.wait_overdue(position) => return Ok(position),
         };
         if news.changes.is_empty() {
@@ -225,7 +225,7 @@
     async fn list(&self) -> Result<FeedPosition, StoreError> {
         let router = &self.router;
         let list = router.feed.list(self.topic, self.list_age());
-        let list = router.store_turn.call(store_call::make(self.topic, self.list_reason, list)).await?;
+        let list = router.store_breaker.call(store_call::run(self.topic, self.list_reason, list)).await?;
         let position = list.position;
         self.take_list(list);
         Ok(position)
@@ -252,11 +252,11 @@
         self.position = None;
         self.list_reason = CallReason::AfterFailure;
         self.failures += 1;
-        if is_refused_by(error) {
+        if is_refusal_error(error) {
             // The next call waits for its turn, also where this one was a watch.
-            self.router.store_turn.doubt();
+            self.router.store_breaker.require_probe();
         } else {
-            tokio::time::sleep(choose_pause(self.failures - 1)).await;
+            tokio::time::sleep(backoff_delay(self.failures - 1)).await;
         }
     }
 }
@@ -266,12 +266,12 @@
     let entry = router.own_entry();
     let mut failures = 0;
     let is_listed = router.cluster.has_node(&entry.node);
-    let register = || store_call::make(FeedTopic::Nodes, CallReason::Register, router.feed.announce(&entry, is_listed));
-    while let Err(error) = router.store_turn.call(register()).await {
+    let register = || store_call::run(FeedTopic::Nodes, CallReason::Register, router.feed.announce(&entry, is_listed));
+    while let Err(error) = router.store_breaker.call(register()).await {
         if failures == 0 {
             tracing::warn!(event = "announce_failed", %error);
         }
-        tokio::time::sleep(choose_pause(failures)).await;
+        tokio::time::sleep(backoff_delay(failures)).await;
         failures += 1;
     }
     tracing::info!(event = "announced", node = %entry.node, incarnation = %entry.incarnation);
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -88,7 +88,7 @@
         async move {
             is_answering.store(true, Ordering::Relaxed);
             // Whether the request has run is not known then: work that panics says nothing of what it sent.
-            let handled = task::guard(handle(&router, request, accepted)).await;
+            let handled = task::catch_panic(handle(&router, request, accepted)).await;
             let answer = handled.unwrap_or_else(|| refuse(&*router.format, RefusalKind::Lost));
             is_answering.store(false, Ordering::Relaxed);
             Ok::<_, Infallible>(answer)
--- a/crates/router/src/gather.rs
+++ b/crates/router/src/gather.rs
@@ -171,7 +171,7 @@
     /// Whether a shard's answer may still come, as far as is known: what is under way in failure domains
     /// that cannot be reached is not waited for.
     fn is_expected(&self, slot: &ShardSlot, now: Moment) -> bool {
-        let in_batch = self.open_batches(slot).any(|batch| !batch.peer.domain.is_dark(now));
+        let in_batch = self.open_batches(slot).any(|batch| !batch.peer.domain.is_unreachable(now));
         slot.part.is_none() && (in_batch || slot.attempts.is_expected(now))
     }
 
--- a/crates/router/src/gather_batch.rs
+++ b/crates/router/src/gather_batch.rs
@@ -10,7 +10,7 @@
 use crate::delegate::{BatchOrder, PlannedBatch, read_on};
 use crate::fold::ShardPart;
 use crate::gather::GatherRound;
-use crate::pace_report::take_paces;
+use crate::pace_report::record_paces;
 use crate::peers::{BatchNews, PendingBatch};
 use crate::quarantine;
 
@@ -79,7 +79,7 @@
         batch.takeover_at = None;
         let now = self.context.now();
         batch.peer.state().note_overdue(now, batch.started);
-        batch.peer.domain.note_silent(now, batch.started, batch.peer.entry.node.as_str());
+        batch.peer.domain.note_overdue(now, batch.started, batch.peer.entry.node.as_str());
         tracing::info!(
             event = "batch_overdue",
             request = self.context.request.id_text(),
@@ -182,7 +182,7 @@
         quarantine::note_told(&self.context.router, self.context.request.suspect, &reply.crashed);
         let services = batch.positions.iter().map(|position| &self.slots[*position].attempts.service);
         let domain = &batch.peer.entry.domain;
-        take_paces(self.context.now(), &self.context.view, domain, services, &reply.report.paces);
+        record_paces(self.context.now(), &self.context.view, domain, services, &reply.report.paces);
         if reply.is_stopping {
             batch.peer.mark_stopping();
         }
--- a/crates/router/src/hedge.rs
+++ b/crates/router/src/hedge.rs
@@ -120,7 +120,7 @@
         if self.is_spent(attempts) || !self.charge(attempts, service) {
             return false;
         }
-        let patience = self.times.patience(server.distance, self.route.target_latency);
+        let patience = self.times.hedge_delay(server.distance, self.route.target_latency);
         attempts.note_handed(server.clone(), self.now(), patience);
         true
     }
--- a/crates/router/src/signs.rs
+++ b/crates/router/src/liveness_probe.rs
@@ -22,7 +22,7 @@
 const ASKED_BESIDE: usize = 2;
 
 /// Asks until the node ends.
-pub async fn ask(router: Arc<Router>) {
+pub async fn run(router: Arc<Router>) {
     loop {
         tokio::time::sleep(ASK_EVERY.mul_f64(rand::random_range(0.8..1.2))).await;
         for peer in choose_asked(&router) {
@@ -35,7 +35,7 @@
 fn choose_asked(router: &Router) -> Vec<Arc<PeerNode>> {
     let now = router.clock.now();
     let view = router.cluster.view();
-    if !view.peers.iter().any(|peer| peer.domain.is_dark(now)) {
+    if !view.peers.iter().any(|peer| peer.domain.is_unreachable(now)) {
         return Vec::new();
     }
     let mut by_domain: BTreeMap<&FailureDomain, Vec<&Arc<PeerNode>>> = BTreeMap::new();
@@ -44,7 +44,7 @@
     }
     let choose = |mut peers: Vec<&Arc<PeerNode>>| {
         let domain = &peers[0].domain;
-        let count = match (domain.is_dark(now), domain.was_heard_within(now, ASK_EVERY)) {
+        let count = match (domain.is_unreachable(now), domain.had_contact_within(now, ASK_EVERY)) {
             (true, _) => ASKED_IN_DARK,
             (false, true) => 0,
             (false, false) => ASKED_BESIDE,
@@ -61,8 +61,8 @@
     let told = peer.link.call::<_, KnowledgeReply>(PATH_KNOWLEDGE, &request, SIGN_WITHIN).await;
     let now = router.clock.now();
     match told {
-        Ok(_) => peer.domain.note_heard(now),
-        Err(_) if peer.domain.is_dark(now) => peer.domain.note_no_sign(now),
-        Err(_) => peer.domain.note_silent_in(now, asked, peer.entry.node.as_str(), SilenceContext::OtherUnreachable),
+        Ok(_) => peer.domain.note_contact(now),
+        Err(_) if peer.domain.is_unreachable(now) => peer.domain.note_probe_failure(now),
+        Err(_) => peer.domain.note_overdue_in(now, asked, peer.entry.node.as_str(), SilenceContext::OtherUnreachable),
     }
 }
--- a/crates/router/src/look_around.rs
+++ b/crates/router/src/look_around.rs
@@ -39,7 +39,7 @@
         return;
     }
     let age = if is_first { ListAge::Fresh } else { ListAge::MayBeStale };
-    match store_call::make(FeedTopic::Nodes, CallReason::LookAround, router.feed.list(FeedTopic::Nodes, age)).await {
+    match store_call::run(FeedTopic::Nodes, CallReason::LookAround, router.feed.list(FeedTopic::Nodes, age)).await {
         Ok(list) => take_nodes(router, list),
         Err(error) => tracing::info!(event = "nodes_unknown", %error),
     }
@@ -47,7 +47,7 @@
 
 /// Learns the nodes from the store if they fit in one answer; false where they are more.
 async fn learn_few(router: &Router) -> bool {
-    match store_call::make(FeedTopic::Nodes, CallReason::LookAround, router.feed.list_few(FeedTopic::Nodes)).await {
+    match store_call::run(FeedTopic::Nodes, CallReason::LookAround, router.feed.list_few(FeedTopic::Nodes)).await {
         Ok(Some(list)) => {
             take_nodes(router, list);
             true
--- a/crates/router/src/node_sweep.rs
+++ b/crates/router/src/node_sweep.rs
@@ -62,7 +62,7 @@
 }
 
 async fn remove(router: &Router, entry: &NodeEntry, absent: Duration) {
-    match store_call::make(FeedTopic::Nodes, CallReason::Sweep, router.feed.withdraw(entry)).await {
+    match store_call::run(FeedTopic::Nodes, CallReason::Sweep, router.feed.withdraw(entry)).await {
         Ok(()) => tracing::warn!(
             event = "node_entry_removed",
             node = %entry.node,
--- a/crates/router/src/pace_report.rs
+++ b/crates/router/src/pace_report.rs
@@ -18,7 +18,7 @@
 const TOLD_FOR: Duration = Duration::from_secs(2);
 
 /// Paces of servers near this node that are far slower than usual, among those of some services; the newest first.
-pub fn tell_paces<'a>(
+pub fn report_paces<'a>(
     now: Moment,
     view: &'a ClusterView,
     services: impl Iterator<Item = &'a ServiceName>,
@@ -41,7 +41,7 @@
 
 /// Takes what a node told of servers of some services in its failure domain. What it tells of others, or of another run,
 /// is left out.
-pub fn take_paces<'a>(
+pub fn record_paces<'a>(
     now: Moment,
     view: &'a ClusterView,
     domain: &FailureDomain,
--- a/crates/router/src/peer_gather.rs
+++ b/crates/router/src/peer_gather.rs
@@ -10,7 +10,7 @@
 use crate::batch::{BatchMode, DomainReport, FoldedShard, MissingShard, ServerPace, ShardBatch, ShardReply};
 use crate::fold::cut_records;
 use crate::gather::GatherRound;
-use crate::pace_report::tell_paces;
+use crate::pace_report::report_paces;
 
 /// The shards of a batch, asked for another node.
 pub struct PeerGather<'a> {
@@ -76,12 +76,12 @@
         };
         let crashed = self.context.router.cluster.quarantine.crashed(self.context.request.suspect.content);
         let waits = self.context.view.waits.report(self.context.now());
-        let report = DomainReport { waits, paces: self.tell_paces() };
+        let report = DomainReport { waits, paces: self.report_paces() };
         ShardReply { version, is_stopping: false, shards, missing, records, crashed, report }
     }
 
-    fn tell_paces(&self) -> Vec<ServerPace> {
+    fn report_paces(&self) -> Vec<ServerPace> {
         let services = self.slots.iter().map(|slot| &slot.attempts.service);
-        tell_paces(self.context.now(), &self.context.view, services)
+        report_paces(self.context.now(), &self.context.view, services)
     }
 }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -57,7 +57,7 @@
     /// Whether it may be given work.
     pub fn is_usable(&self, now: Moment) -> bool {
         self.link.is_open()
-            && !self.domain.is_dark(now)
+            && !self.domain.is_unreachable(now)
             && !self.is_stopping.load(Ordering::Relaxed)
             && !self.state().is_avoided(now)
     }
@@ -76,7 +76,7 @@
             let (peer, clock) = (peer.clone(), router.clock);
             tokio::spawn(async move {
                 if peer.link.ensure_connected().await.is_ok() {
-                    peer.domain.note_heard(clock.now());
+                    peer.domain.note_contact(clock.now());
                     tracing::info!(event = "peer_connected", peer = %peer.entry.node, address = %peer.entry.peer_address);
                 }
             });
@@ -153,7 +153,7 @@
 
     /// Notes what a frame tells of the node.
     fn note_frame(&mut self, frame: &BatchFrame) {
-        self.peer.domain.note_heard(self.record.router.clock.now());
+        self.peer.domain.note_contact(self.record.router.clock.now());
         if let BatchFrame::Done(_) = frame {
             self.record.sample = CallSample::Answered;
         }
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -17,7 +17,7 @@
 use crate::router::Router;
 use crate::server::Server;
 use crate::store_call::{self, CallReason};
-use crate::store_turn::choose_pause;
+use crate::store_turn::backoff_delay;
 
 /// How long a node tries to tell the others of a content: the store is away at most for seconds, and a
 /// content that comes again is noted again.
@@ -180,7 +180,7 @@
 
 /// Makes a call of the quarantine.
 async fn ask<T>(call: impl Future<Output = Result<T, StoreError>>) -> Result<T, StoreError> {
-    store_call::make(FeedTopic::Crashes, CallReason::Quarantine, call).await
+    store_call::run(FeedTopic::Crashes, CallReason::Quarantine, call).await
 }
 
 fn join(servers: &[ServerRun]) -> String {
@@ -197,11 +197,11 @@
             return entry;
         }
         let replaces = known.as_ref().map(|(_, revision)| *revision);
-        let written = router.store_turn.call(ask(router.feed.write_crash(&entry, replaces))).await;
+        let written = router.store_breaker.call(ask(router.feed.write_crash(&entry, replaces))).await;
         let error = match written {
             Ok(()) => return entry,
             Err(StoreError::Conflict | StoreError::BadStatus(404)) => {
-                match router.store_turn.call(ask(router.feed.read_crash(own.content))).await {
+                match router.store_breaker.call(ask(router.feed.read_crash(own.content))).await {
                     Ok(held) => {
                         known = held;
                         continue;
@@ -214,7 +214,7 @@
         if failures == 0 {
             tracing::warn!(event = "content_told_late", content = %own.content, %error);
         }
-        tokio::time::sleep(choose_pause(failures)).await;
+        tokio::time::sleep(backoff_delay(failures)).await;
         failures += 1;
     }
 }
@@ -263,7 +263,7 @@
 /// Gives a content free whose trial did no harm.
 pub(crate) async fn release(router: &Router, content: ContentId) {
     let is_shared = router.cluster.quarantine.book().shared_entry(content).is_some();
-    if is_shared && let Err(error) = router.store_turn.call(ask(router.feed.remove_crash(content))).await {
+    if is_shared && let Err(error) = router.store_breaker.call(ask(router.feed.remove_crash(content))).await {
         // It stays held off, and is tried again.
         tracing::warn!(event = "content_not_released", %content, %error);
         return;
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -127,22 +127,22 @@
                 tracing::warn!(event = "reader_lost", reader = %subscription.reader, %error);
                 lost = Some(subscription.reader);
                 // It may have lost the store.
-                router.store_turn.doubt();
+                router.store_breaker.require_probe();
                 plan = ProbeSchedule::default();
             }
             None => {
                 router.set_source(FeedSource::Store);
                 lost = None;
-                let pause = plan.next_delay(router.store_turn.is_refused());
+                let pause = plan.next_delay(router.store_breaker.is_refused());
                 tokio::select! {
                     () = tokio::time::sleep(pause.mul_f64(rand::random_range(0.8..1.2))) => {}
-                    () = router.store_turn.wait_look_wanted() => {}
+                    () = router.store_breaker.wait_probe_request() => {}
                 }
             }
         }
         reader = find_reader(&router, lost.as_ref(), SWITCH_WITHIN).await;
         if reader.is_none() {
-            router.store_turn.note_looked_in_vain();
+            router.store_breaker.note_no_reader();
         }
     }
 }
@@ -226,7 +226,7 @@
     let nodes: Vec<ReaderCandidate> =
         neighbours.iter().map(|entry| ReaderCandidate { name: entry.node.as_str(), power: entry.cpu_share }).collect();
     let choice = choose_readers(place.node.as_str(), place.domain.as_str(), &nodes);
-    router.store_turn.set_rank(choice.rank);
+    router.store_breaker.set_rank(choice.rank);
     let find = |name: &str| neighbours.iter().find(|entry| entry.node.as_str() == name).cloned();
     OwnReaders {
         readers: choice.readers.into_iter().filter_map(find).collect(),
--- a/crates/router/src/relay_service.rs
+++ b/crates/router/src/relay_service.rs
@@ -129,7 +129,7 @@
 
 /// Whether this node may soon follow the store. One that the store turns away does not keep others waiting.
 fn may_become_reader(router: &Router) -> bool {
-    *router.phase.borrow() == RouterPhase::Serving && !router.store_turn.is_refused()
+    *router.phase.borrow() == RouterPhase::Serving && !router.store_breaker.is_refused()
 }
 
 /// Waits for this node to follow the store, and says that it is about to; whether it does.
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -16,14 +16,14 @@
 use crate::border::{CallFormat, ClusterFeed, FeedPosition, FeedTopic};
 use crate::clock::{NodeClock, wall_ms};
 use crate::cluster::Cluster;
-use crate::cluster_place::ClusterPlace;
+use crate::cluster_place::NodeContext;
 use crate::cluster_view::{ClusterView, Service};
 use crate::entry::EntryControl;
 use crate::relay::FeedSource;
 use crate::relay_service::RelayOutlet;
 use crate::settings::RouterSettings;
 use crate::shortage::ShortageWatch;
-use crate::store_turn::StoreTurn;
+use crate::store_turn::StoreBreaker;
 use crate::usage::UsageLedger;
 
 /// The share of the fixed allowance that the nodes divide; the rest is for moments in which
@@ -84,7 +84,7 @@
     /// Whether batches of other nodes are taken.
     pub(crate) batch_gate: Mutex<BatchGate>,
     /// The turn of calls to the store while it refuses them.
-    pub(crate) store_turn: StoreTurn,
+    pub(crate) store_breaker: StoreBreaker,
     /// Passes news of the store to other nodes.
     pub outlet: RelayOutlet,
     /// Credit of teams whose requests are limited.
@@ -144,11 +144,11 @@
 impl Router {
     pub(crate) fn new(settings: RouterSettings, format: Arc<dyn CallFormat>, feed: Arc<dyn ClusterFeed>) -> Self {
         let clock = NodeClock::start();
-        let place = ClusterPlace {
+        let place = NodeContext {
             node: settings.node.clone(),
             domain: settings.failure_domain.clone(),
             regions: settings.regions.clone(),
-            spent_for: settings.extra_calls.window.0,
+            extra_call_window: settings.extra_calls.window.0,
             cold_calls: settings.cold_calls,
             scheduling: settings.scheduling,
             mechanisms: settings.mechanisms(),
@@ -173,7 +173,7 @@
             source: watch::Sender::new(FeedSource::Undecided),
             feed_changed: watch::Sender::new(()),
             batch_gate: Mutex::default(),
-            store_turn: StoreTurn::default(),
+            store_breaker: StoreBreaker::default(),
             outlet: RelayOutlet::default(),
             usage: UsageLedger::default(),
             shortage: ShortageWatch::default(),
@@ -247,7 +247,7 @@
     /// Takes settings that were read anew. The bounds on extra calls and the time for a stop
     /// change at once; ports, names and places only with a restart.
     pub fn reload(&self, settings: RouterSettings) {
-        let needs_restart = !settings.has_same_place(&self.settings);
+        let needs_restart = !settings.has_same_identity(&self.settings);
         tracing::info!(
             event = "settings_reloaded",
             extra_ratio = settings.extra_calls.ratio,
--- a/crates/router/src/router_start.rs
+++ b/crates/router/src/router_start.rs
@@ -11,7 +11,9 @@
 use crate::router::{Router, RunningRouter};
 use crate::settings::RouterSettings;
 use crate::task::NodeTasks;
-use crate::{feed, front, knowledge, look_around, node_sweep, peer_service, peers, ready, relay, shortage, signs};
+use crate::{
+    feed, front, knowledge, liveness_probe, look_around, node_sweep, peer_service, peers, ready, relay, shortage,
+};
 
 /// How often doubtful servers and resting connections are looked at.
 const SWEEP_EVERY: Duration = Duration::from_millis(250);
@@ -59,7 +61,7 @@
     tasks.start("catch_up", feed::catch_up);
     tasks.start("peers", move |router| peer_service::serve(router, peers_listener.clone()));
     tasks.start("links", peers::keep_connected);
-    tasks.start("signs", signs::ask);
+    tasks.start("signs", liveness_probe::run);
     tasks.start("knowledge", knowledge::ask_in_outages);
     tasks.start("sweep", sweep);
     tokio::spawn(tell_ready(router.clone()));
@@ -114,7 +116,7 @@
         tokio::time::sleep(SWEEP_EVERY).await;
         note_suspension(&router);
         router.cluster.sweep(router.clock.now());
-        shortage::look(&router);
+        shortage::check(&router);
     }
 }
 
--- a/crates/router/src/router_stop.rs
+++ b/crates/router/src/router_stop.rs
@@ -23,7 +23,7 @@
         let entry = self.own_entry();
         let withdrawn = tokio::time::timeout(
             WITHDRAW_WITHIN,
-            store_call::make(FeedTopic::Nodes, CallReason::Withdraw, self.feed.withdraw(&entry)),
+            store_call::run(FeedTopic::Nodes, CallReason::Withdraw, self.feed.withdraw(&entry)),
         )
         .await;
         match withdrawn {
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -17,14 +17,14 @@
 use crate::clock::NodeClock;
 use crate::connection_pool::{ConnectionPool, LeasedConnection};
 use crate::domain::DomainState;
-use crate::spell_book::SpellBook;
+use crate::slow_periods::SlowPeriodTracker;
 
 /// What a server shares with others.
 pub struct ServerShared {
     /// Its failure domain.
     pub domain: Arc<DomainState>,
     /// How long servers stay slow.
-    pub spells: Arc<SpellBook>,
+    pub slow_periods: Arc<SlowPeriodTracker>,
     /// The mechanisms by which it is judged.
     pub mechanisms: MechanismSet,
 }
@@ -44,7 +44,7 @@
     /// How far away it is.
     pub distance: Distance,
     domain_state: Arc<DomainState>,
-    spells: Arc<SpellBook>,
+    slow_periods: Arc<SlowPeriodTracker>,
     slots: u32,
     leaving: AtomicBool,
     doubtful: AtomicBool,
@@ -87,7 +87,7 @@
 impl Server {
     /// A server that is not connected to yet.
     pub fn new(entry: &ServerEntry, shared: ServerShared, now: Moment) -> Arc<Self> {
-        let ServerShared { domain, spells, mechanisms } = shared;
+        let ServerShared { domain, slow_periods, mechanisms } = shared;
         Arc::new(Self {
             id: entry.id.clone(),
             start: entry.start,
@@ -96,7 +96,7 @@
             domain: entry.domain.clone(),
             distance: domain.distance,
             domain_state: domain,
-            spells,
+            slow_periods,
             slots: entry.slots,
             leaving: AtomicBool::new(entry.is_draining),
             doubtful: AtomicBool::new(false),
@@ -111,7 +111,7 @@
     }
 
     /// Notes that a call goes out to it.
-    pub fn begin_work(&self, clock: NodeClock, suspect: CrashSuspect) -> WorkRecord<'_> {
+    pub fn start_work(&self, clock: NodeClock, suspect: CrashSuspect) -> WorkRecord<'_> {
         lock(&self.work).note_start(suspect);
         WorkRecord { server: self, clock, suspect, is_answered: false }
     }
@@ -173,37 +173,37 @@
     /// What a call there would cost, in microseconds, where `typical` is the time such a call usually
     /// takes.
     pub fn cost(&self, now: Moment, typical: Duration) -> f64 {
-        self.state().cost(now, self.distance, typical, self.spells.spell())
+        self.state().cost(now, self.distance, typical, self.slow_periods.spell())
     }
 
     /// Whether it is no good server now: far slower than usual, or not expected to answer.
     pub fn is_slow(&self, now: Moment) -> bool {
-        self.state().is_slow(now, self.spells.spell())
+        self.state().is_slow(now, self.slow_periods.spell())
     }
 
     /// The pace that calls of this node have shown, and when.
     pub fn measured_pace(&self, now: Moment) -> Option<(f64, Moment)> {
-        self.state().measured_pace(now, self.spells.spell())
+        self.state().measured_pace(now, self.slow_periods.spell())
     }
 
     /// Notes how a call ended that started at a moment.
     pub fn note_end(&self, now: Moment, started: Moment, sample: CallSample) {
-        let followed = self.state().finish_measured(now, started, sample, self.spells.spell());
+        let followed = self.state().finish_measured(now, started, sample, self.slow_periods.spell());
         if let Some(followed) = followed {
-            self.spells.note(followed);
+            self.slow_periods.note(followed);
         }
     }
 
     /// When a call that goes to it now is expected to be answered, where such calls usually take `typical`.
-    pub fn outlook(&self, now: Moment, typical: Duration) -> ServerEstimate {
-        self.state().estimate_finish(now, typical, self.spells.spell())
+    pub fn estimate_finish(&self, now: Moment, typical: Duration) -> ServerEstimate {
+        self.state().estimate_finish(now, typical, self.slow_periods.spell())
     }
 
     /// Notes how many times as long as usual work takes there by its own word.
-    pub fn learn_pace(&self, now: Moment, pace: f64) {
+    pub fn record_reported_pace(&self, now: Moment, pace: f64) {
         let sample = self.state().record_reported_pace(now, pace);
         if let Some(sample) = sample {
-            self.spells.note(sample);
+            self.slow_periods.note(sample);
         }
     }
 
@@ -213,11 +213,11 @@
     }
 
     /// What keeps requests with these homes from it, if anything does.
-    pub fn find_bar(&self, now: Moment, homes: &AllowedRegions) -> Option<ServerExclusion> {
+    pub fn find_exclusion(&self, now: Moment, homes: &AllowedRegions) -> Option<ServerExclusion> {
         let standing = ServerConditions {
             is_leaving: self.is_leaving(),
             is_evacuated: self.domain_state.is_evacuated(),
-            is_unreachable: self.is_dark(now),
+            is_unreachable: self.is_unreachable(now),
             is_cold_limit_reached: self.is_cold_spent(now),
             region: self.domain_state.region.as_ref(),
         };
@@ -242,22 +242,22 @@
     }
 
     /// Whether nothing in its failure domain is believed to answer now.
-    pub fn is_dark(&self, now: Moment) -> bool {
-        self.domain_state.is_dark(now)
+    pub fn is_unreachable(&self, now: Moment) -> bool {
+        self.domain_state.is_unreachable(now)
     }
 
     /// Notes that it was heard.
-    pub fn note_heard(&self, now: Moment) {
-        self.domain_state.note_heard(now);
+    pub fn note_contact(&self, now: Moment) {
+        self.domain_state.note_contact(now);
     }
 
     /// Notes that a call to it that began at a moment is overdue.
-    pub fn note_silent(&self, now: Moment, started: Moment) {
-        self.domain_state.note_silent(now, started, self.id.as_str());
+    pub fn note_domain_overdue(&self, now: Moment, started: Moment) {
+        self.domain_state.note_overdue(now, started, self.id.as_str());
     }
 
     /// Sets how many calls a second this node may make while it is cold; `None` for any number.
-    pub fn set_cold_share(&self, share: Option<u32>) {
+    pub fn set_cold_quota(&self, share: Option<u32>) {
         self.cold_share.store(share.unwrap_or(u32::MAX), Ordering::Relaxed);
     }
 
@@ -278,14 +278,14 @@
 
     /// Whether this node may have one more call out there, where calls wait at the node: one without a connection
     /// would only wait in another place.
-    pub fn has_room(&self, now: Moment) -> bool {
+    pub fn has_capacity(&self, now: Moment) -> bool {
         let state = self.state();
         state.running() < self.pool.share() && state.has_capacity(now)
     }
 
     /// Sets how many connections this node may have to it.
-    pub fn set_share(&self, share: u32) {
-        self.pool.set_share(share);
+    pub fn set_connection_limit(&self, share: u32) {
+        self.pool.set_connection_limit(share);
     }
 
     /// A connection to it: one at rest, a new one, or the next one that is freed.
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -109,7 +109,7 @@
     }
 
     /// Whether a node with these settings would have the same name, place and ports.
-    pub fn has_same_place(&self, other: &Self) -> bool {
+    pub fn has_same_identity(&self, other: &Self) -> bool {
         let place = |settings: &Self| (settings.node.clone(), settings.failure_domain.clone());
         let ports = |settings: &Self| [settings.callers, settings.ready, settings.peers, settings.metrics];
         place(self) == place(other) && ports(self) == ports(other) && self.platform == other.platform
--- a/crates/router/src/shortage.rs
+++ b/crates/router/src/shortage.rs
@@ -15,7 +15,7 @@
 pub struct ShortageWatch(Mutex<ShortageList>);
 
 /// Looks which services are short, counts them and logs what changed.
-pub(crate) fn look(router: &Router) {
+pub(crate) fn check(router: &Router) {
     if !router.has(Mechanism::MeasuredPace) {
         return;
     }
--- a/crates/router/src/spell_book.rs
+++ b/crates/router/src/slow_periods.rs
@@ -7,19 +7,19 @@
 use streamfold_policy::reported_pace::{SlowPeriodSample, SlowPeriodStats};
 
 /// The slow spells seen so far. Every cost of a server reads their mean, so it is kept apart from the lock.
-pub struct SpellBook {
+pub struct SlowPeriodTracker {
     record: Mutex<SlowPeriodStats>,
     spell_us: AtomicU64,
 }
 
-impl Default for SpellBook {
+impl Default for SlowPeriodTracker {
     fn default() -> Self {
         let record = SlowPeriodStats::default();
         Self { spell_us: AtomicU64::new(record.mean().as_micros() as u64), record: Mutex::new(record) }
     }
 }
 
-impl SpellBook {
+impl SlowPeriodTracker {
     /// Notes how a spell went on.
     pub fn note(&self, sample: SlowPeriodSample) {
         let mut record = self.record.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/router/src/store_call.rs
+++ b/crates/router/src/store_call.rs
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 /// Those of the call.
-pub(crate) async fn make<T>(
+pub(crate) async fn run<T>(
     topic: FeedTopic,
     reason: CallReason,
     call: impl Future<Output = Result<T, StoreError>>,
--- a/crates/router/src/store_turn.rs
+++ b/crates/router/src/store_turn.rs
@@ -16,7 +16,7 @@
 const DOUBT_WITHIN: Duration = Duration::from_millis(200);
 
 /// The pause after so many failed calls in a row, spread so that nodes do not ask together.
-pub(crate) fn choose_pause(failures: u32) -> Duration {
+pub(crate) fn backoff_delay(failures: u32) -> Duration {
     spread(store_backoff::backoff_delay(failures, 0))
 }
 
@@ -26,7 +26,7 @@
 
 /// The turn of this node's calls while the store refuses them.
 #[derive(Debug, Default)]
-pub struct StoreTurn {
+pub struct StoreBreaker {
     is_refused: AtomicBool,
     /// Whether it is not known that the store takes calls.
     is_doubtful: AtomicBool,
@@ -46,7 +46,7 @@
     again_at: Option<Instant>,
 }
 
-impl StoreTurn {
+impl StoreBreaker {
     /// Whether the store refused the last call that was made in turn.
     pub fn is_refused(&self) -> bool {
         self.is_refused.load(Ordering::Relaxed)
@@ -54,7 +54,7 @@
 
     /// Lets one call find out whether the store takes calls before others are made: what told of the store has
     /// broken off.
-    pub fn doubt(&self) {
+    pub fn require_probe(&self) {
         self.is_doubtful.store(true, Ordering::Relaxed);
     }
 
@@ -90,12 +90,12 @@
     }
 
     /// Waits until a look for a reader is wanted.
-    pub async fn wait_look_wanted(&self) {
+    pub async fn wait_probe_request(&self) {
         self.look_wanted.notified().await;
     }
 
     /// Takes that no reader was found. After one that was, what waits here is dropped: it follows that reader.
-    pub fn note_looked_in_vain(&self) {
+    pub fn note_no_reader(&self) {
         self.looked_in_vain.notify_waiters();
     }
 
@@ -148,10 +148,10 @@
 }
 
 fn is_refusal<T>(result: &Result<T, StoreError>) -> bool {
-    result.as_ref().is_err_and(is_refused_by)
+    result.as_ref().is_err_and(is_refusal_error)
 }
 
 /// Whether a failure tells that the store takes no calls now. Where an answer is only late others may be answered.
-pub(crate) fn is_refused_by(error: &StoreError) -> bool {
+pub(crate) fn is_refusal_error(error: &StoreError) -> bool {
     matches!(error, StoreError::Unavailable(_) | StoreError::Unreachable | StoreError::ConnectionBroken)
 }
--- a/crates/router/src/task.rs
+++ b/crates/router/src/task.rs
@@ -12,7 +12,7 @@
 const RESTART_PAUSE: Duration = Duration::from_millis(200);
 
 /// Runs work to its end; `None` if it panicked, of which the log has a line with the place.
-pub async fn guard<T>(work: impl Future<Output = T>) -> Option<T> {
+pub async fn catch_panic<T>(work: impl Future<Output = T>) -> Option<T> {
     // What was half done is dropped with the work; locks that it held count as usable.
     AssertUnwindSafe(work).catch_unwind().await.ok()
 }
@@ -20,7 +20,7 @@
 /// Runs a task of the node until it ends, and anew after a panic: a node that no longer hears of servers, or answers
 /// no other node, goes on serving by what it last knew and nobody is told.
 pub async fn keep_running<T: Future<Output = ()>>(name: &'static str, begin: impl Fn() -> T) {
-    while guard(begin()).await.is_none() {
+    while catch_panic(begin()).await.is_none() {
         tracing::error!(event = "task_begun_anew", task = name);
         tokio::time::sleep(RESTART_PAUSE).await;
     }
--- a/crates/router/tests/cluster.rs
+++ b/crates/router/tests/cluster.rs
@@ -10,7 +10,7 @@
 use streamfold_policy::{MechanismSet, Moment};
 use streamfold_router::border::{FeedChange, FeedItem, FeedTopic};
 use streamfold_router::cluster::{Cluster, NewsOrigin};
-use streamfold_router::cluster_place::ClusterPlace;
+use streamfold_router::cluster_place::NodeContext;
 use streamfold_router::settings::SchedulingSettings;
 
 fn entry(name: &str, incarnation: u64) -> NodeEntry {
@@ -24,11 +24,11 @@
 }
 
 fn make_cluster() -> Cluster {
-    Cluster::new(ClusterPlace {
+    Cluster::new(NodeContext {
         node: "own".parse().expect("a name"),
         domain: "zone-a".parse().expect("a failure domain"),
         regions: HashMap::new(),
-        spent_for: Duration::from_secs(10),
+        extra_call_window: Duration::from_secs(10),
         cold_calls: None,
         scheduling: SchedulingSettings::default(),
         mechanisms: MechanismSet::default(),
--- a/crates/router/tests/measured_pace.rs
+++ b/crates/router/tests/measured_pace.rs
@@ -13,8 +13,8 @@
 use streamfold_router::batch::ServerPace;
 use streamfold_router::border::{FeedChange, FeedItem, FeedTopic};
 use streamfold_router::cluster::{Cluster, NewsOrigin};
-use streamfold_router::cluster_place::ClusterPlace;
-use streamfold_router::pace_report::{take_paces, tell_paces};
+use streamfold_router::cluster_place::NodeContext;
+use streamfold_router::pace_report::{record_paces, report_paces};
 use streamfold_router::server::Server;
 use streamfold_router::settings::SchedulingSettings;
 
@@ -61,11 +61,11 @@
 }
 
 fn make_empty_cluster(domain: &str, without: &[Mechanism]) -> Cluster {
-    Cluster::new(ClusterPlace {
+    Cluster::new(NodeContext {
         node: "own".parse().expect("a name"),
         domain: domain.parse().expect("a failure domain"),
         regions: HashMap::new(),
-        spent_for: Duration::from_secs(10),
+        extra_call_window: Duration::from_secs(10),
         cold_calls: None,
         mechanisms: MechanismSet::without(without),
         scheduling: SchedulingSettings::default(),
@@ -117,7 +117,7 @@
 }
 
 fn told(cluster: &Cluster, now: Moment) -> Vec<ServerPace> {
-    tell_paces(now, &cluster.view(), [name()].iter())
+    report_paces(now, &cluster.view(), [name()].iter())
 }
 
 /// How many times as long as usual work is expected to take at a server.
@@ -179,7 +179,7 @@
     );
     let asking = make_cluster("zone-b", &[]);
     ["i-1", "i-2", "i-3"].iter().for_each(|id| tell(&asking, id, 1, false));
-    take_paces(ms(1_000), &asking.view(), &near(), [name()].iter(), &report);
+    record_paces(ms(1_000), &asking.view(), &near(), [name()].iter(), &report);
     let slowness = |now| stretch(&find(&asking, "i-1"), now);
     let slow: Vec<f64> = [1_000, 2_000, 8_000].iter().map(|at| slowness(ms(*at))).collect();
     assert!(slow[0] > 2.0 && slow[0] > slow[1] && slow[1] > slow[2] && slow[2] < 1.1, "{slow:?}");
@@ -197,7 +197,7 @@
     };
     let mut report = vec![pace("i-1", 1), pace("i-9", 2), pace("i-2", 2), pace("i-2", 2)];
     report.extend((0..1_000).map(|_| pace("i-3", 2)));
-    take_paces(ms(300), &asking.view(), &near(), [name()].iter(), &report);
+    record_paces(ms(300), &asking.view(), &near(), [name()].iter(), &report);
     let is_slower = |id| stretch(&find(&asking, id), ms(300)) > 1.0;
     assert_eq!(["i-1", "i-2", "i-3"].map(is_slower), [false, true, false]);
 }
--- a/crates/router/tests/store_turn.rs
+++ b/crates/router/tests/store_turn.rs
@@ -2,14 +2,14 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use streamfold_router::store_turn::StoreTurn;
+use streamfold_router::store_turn::StoreBreaker;
 use streamfold_store::StoreError;
 use tokio::sync::oneshot;
 
 const REFUSED: StoreError = StoreError::Unavailable(503);
 
 /// Makes a call that counts itself among those under way, and is refused or taken as told.
-async fn ask(turn: &StoreTurn, asked: &AtomicUsize, told: oneshot::Receiver<bool>) -> bool {
+async fn ask(turn: &StoreBreaker, asked: &AtomicUsize, told: oneshot::Receiver<bool>) -> bool {
     let call = async {
         asked.fetch_add(1, Ordering::SeqCst);
         match told.await.expect("a word") {
@@ -22,7 +22,7 @@
 
 #[tokio::test]
 async fn calls_that_were_refused_ask_again_one_at_a_time() {
-    let turn = StoreTurn::default();
+    let turn = StoreBreaker::default();
     assert!(turn.call(async { Err::<(), _>(REFUSED) }).await.is_err());
     let asked = AtomicUsize::new(0);
     let (tell_first, first) = oneshot::channel();
@@ -44,7 +44,7 @@
 
 #[tokio::test]
 async fn calls_go_together_while_none_is_refused() {
-    let turn = StoreTurn::default();
+    let turn = StoreBreaker::default();
     let asked = AtomicUsize::new(0);
     let (tell_first, first) = oneshot::channel();
     let (tell_second, second) = oneshot::channel();
@@ -60,7 +60,7 @@
 }
 
 /// Makes two calls of which the first is answered when the test says so; whether the second waited for it.
-async fn second_waits(turn: &StoreTurn) -> bool {
+async fn second_waits(turn: &StoreBreaker) -> bool {
     let asked = AtomicUsize::new(0);
     let (tell_first, first) = oneshot::channel();
     let (tell_second, second) = oneshot::channel();
@@ -84,22 +84,22 @@
 /// A store that broke every connection for six seconds was asked by each node for five topics by themselves.
 #[tokio::test]
 async fn calls_whose_connection_broke_ask_again_one_at_a_time() {
-    let turn = StoreTurn::default();
+    let turn = StoreBreaker::default();
     assert!(turn.call(async { Err::<(), _>(StoreError::ConnectionBroken) }).await.is_err());
     assert!(second_waits(&turn).await);
 }
 
 #[tokio::test]
 async fn calls_of_which_one_answer_was_late_go_together() {
-    let turn = StoreTurn::default();
+    let turn = StoreBreaker::default();
     assert!(turn.call(async { Err::<(), _>(StoreError::AnswerLost) }).await.is_err());
     assert!(!second_waits(&turn).await);
 }
 
 #[tokio::test]
 async fn one_call_finds_out_whether_a_store_in_doubt_takes_calls() {
-    let turn = StoreTurn::default();
-    turn.doubt();
+    let turn = StoreBreaker::default();
+    turn.require_probe();
     assert!(!turn.is_refused(), "nobody was refused");
     assert!(second_waits(&turn).await);
     assert!(!second_waits(&turn).await, "it does");
@@ -107,8 +107,8 @@
 
 #[tokio::test]
 async fn a_call_does_not_wait_for_one_that_a_slow_store_keeps_waiting() {
-    let turn = StoreTurn::default();
-    turn.doubt();
+    let turn = StoreBreaker::default();
+    turn.require_probe();
     let asked = AtomicUsize::new(0);
     let (tell_first, first) = oneshot::channel();
     let (tell_second, second) = oneshot::channel();
--- a/crates/router/tests/task.rs
+++ b/crates/router/tests/task.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicU32, Ordering};
 
-use streamfold_router::task::{guard, keep_running};
+use streamfold_router::task::{catch_panic, keep_running};
 
 #[tokio::test]
 async fn a_task_that_panics_is_begun_anew_and_one_that_ends_is_not() {
@@ -17,7 +17,7 @@
 
 #[tokio::test]
 async fn work_that_panics_has_no_outcome() {
-    assert_eq!(guard(async { 7 }).await, Some(7));
-    let faulty = guard(async { Vec::<u8>::new()[usize::from(std::hint::black_box(0u8))] });
+    assert_eq!(catch_panic(async { 7 }).await, Some(7));
+    let faulty = catch_panic(async { Vec::<u8>::new()[usize::from(std::hint::black_box(0u8))] });
     assert_eq!(faulty.await, None);
 }
