--- a/crates/router/src/cluster_view.rs
+++ b/crates/router/src/cluster_view.rs
@@ -77,7 +77,8 @@
 
     /// How many of its servers are good ones now.
     pub(crate) fn health(&self, now: Moment) -> ServiceHealth {
-        let is_good = |server: &&Arc<Server>| !server.is_doubtful() && !server.is_unreachable(now) && !server.is_slow(now);
+        let is_good =
+            |server: &&Arc<Server>| !server.is_doubtful() && !server.is_unreachable(now) && !server.is_slow(now);
         ServiceHealth { servers: self.servers.len(), good: self.servers.iter().filter(is_good).count() }
     }
 
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -39,7 +39,6 @@
 pub mod hedge;
 pub mod interface;
 pub mod knowledge;
-mod line_choice;
 pub mod listing;
 pub mod liveness_probe;
 mod look_around;
--- a/crates/router/src/look_around.rs
+++ b/crates/router/src/look_around.rs
@@ -47,8 +47,7 @@
 
 /// Learns the nodes from the store if they fit in one answer; false where they are more.
 async fn learn_few(router: &Router) -> bool {
-    match store_call::run(FeedTopic::Nodes, CallReason::LookAround, router.feed.list_one_page(FeedTopic::Nodes)).await
-    {
+    match store_call::run(FeedTopic::Nodes, CallReason::LookAround, router.feed.list_one_page(FeedTopic::Nodes)).await {
         Ok(Some(list)) => {
             take_nodes(router, list);
             true
