--- a/crates/router/src/canary.rs
+++ b/crates/router/src/canary.rs
@@ -1,4 +1,5 @@
-//! The first call of a request whose content is suspect, and the trial of one that is held off.
+//! Canary calls: the first call of a request whose content is suspect, and the trial of a quarantined content. The
+//! rules are in `policy::canary`.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -19,39 +20,39 @@
     at: Moment,
 }
 
-/// What is known of one request's calls.
+/// The state of one request's calls.
 #[derive(Default)]
 struct CanaryState {
     record: CanaryRecord,
-    /// Lost calls, until it is known that their servers live on.
+    /// Lost calls whose servers are not known to be up.
     lost: Vec<LostCall>,
 }
 
-/// The first call of one request.
+/// Decides whether one request may send calls, by the outcome of its canary call. Clones share the state.
 #[derive(Clone, Default)]
 pub struct CanaryCall(Arc<Mutex<CanaryState>>);
 
 impl CanaryCall {
-    fn of(record: CanaryRecord) -> Self {
+    fn with_record(record: CanaryRecord) -> Self {
         Self(Arc::new(Mutex::new(CanaryState { record, lost: Vec::new() })))
     }
 
-    /// That of a request that tries a content held off.
+    /// Creates the canary of the request that tries a quarantined content.
     pub fn trial() -> Self {
-        Self::of(CanaryRecord::trial())
+        Self::with_record(CanaryRecord::trial())
     }
 
-    /// That of a request to every shard.
+    /// Creates the canary of a request to every shard.
     pub fn over_shards() -> Self {
-        Self::of(CanaryRecord::over_shards())
+        Self::with_record(CanaryRecord::over_shards())
     }
 
     fn state(&self) -> MutexGuard<'_, CanaryState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether a call may be sent; `patience` is how long the first one may take.
-    pub fn permission(&self, now: Moment, standing: ContentStatus, patience: Duration) -> CallPermission {
+    /// Whether a call may be sent. `timeout` is the longest time that the canary call may take.
+    pub fn permission(&self, now: Moment, status: ContentStatus, timeout: Duration) -> CallPermission {
         let mut state = self.state();
         let CanaryState { record, lost } = &mut *state;
         lost.retain(|call| {
@@ -61,45 +62,45 @@
             }
             !is_alive
         });
-        record.permission(now, standing, patience)
+        record.permission(now, status, timeout)
     }
 
-    /// Whether another request may yet turn out to be what ended the servers.
-    pub fn is_undecided(&self, standing: ContentStatus) -> bool {
-        self.state().record.is_undecided(standing)
+    /// Whether another request may still prove to have caused the crashes.
+    pub fn is_undecided(&self, status: ContentStatus) -> bool {
+        self.state().record.is_undecided(status)
     }
 
-    /// What becomes of the calls under way of a request that was begun `age` ago, where calls take `usual`.
-    pub fn verdict(&self, standing: ContentStatus, age: Duration, usual: Duration) -> RequestVerdict {
-        self.state().record.verdict(standing, age, usual)
+    /// The decision about a request that started `age` ago, where calls usually take `usual`.
+    pub fn verdict(&self, status: ContentStatus, age: Duration, usual: Duration) -> RequestVerdict {
+        self.state().record.verdict(status, age, usual)
     }
 
-    /// Whether a second call may go round one that is overdue.
+    /// Whether an overdue call may be hedged.
     pub fn may_hedge(&self, now: Moment) -> bool {
         self.state().record.may_hedge(now)
     }
 
-    /// Notes that a second call is sent.
+    /// Records that a hedged call is sent.
     pub fn note_hedge(&self, now: Moment) {
         self.state().record.note_hedge(now);
     }
 
-    /// Notes that a call is sent while nothing speaks against the request.
+    /// Records that a call is sent while the request is not restricted.
     pub fn note_unrestricted(&self) {
         self.state().record.note_unrestricted();
     }
 
-    /// Notes that a server answered the request.
+    /// Records that a server answered the request.
     pub fn note_answered(&self) {
         self.state().record.note_answered();
     }
 
-    /// Notes that the first call goes to a server.
+    /// Records that the canary call is sent to a server.
     pub fn note_sent(&self, now: Moment, server: &Server) {
         self.state().record.note_sent(now, server.id.clone());
     }
 
-    /// Notes how a call of the request ended.
+    /// Records how a call of the request ended.
     pub fn note_outcome(&self, router: &Arc<Router>, content: ContentId, ended: &EndedCall) {
         let mut state = self.state();
         let CanaryState { record, lost } = &mut *state;
@@ -115,15 +116,15 @@
         if !record.is_at(&ended.server.id) {
             return;
         }
-        let end = read_end(&ended.result);
-        record.note_outcome(end);
-        if record.is_trial && end == CanaryOutcome::Answered {
+        let outcome = read_outcome(&ended.result);
+        record.note_outcome(outcome);
+        if record.is_trial && outcome == CanaryOutcome::Answered {
             tokio::spawn(watch_trial(router.clone(), content, self.clone(), ended.server.clone()));
         }
     }
 }
 
-fn read_end(result: &Result<ServerReply, CallFailure>) -> CanaryOutcome {
+fn read_outcome(result: &Result<ServerReply, CallFailure>) -> CanaryOutcome {
     match result {
         Ok(reply) if reply.proof.is_some() && !reply.status.is_server_error() => CanaryOutcome::Answered,
         Err(CallFailure::NotSent) => CanaryOutcome::NotSent,
@@ -132,9 +133,9 @@
     }
 }
 
-/// Looks whether a server that answered a trial lives on, and gives the content free if it does.
+/// Checks whether a server that answered a trial survives, and releases the content if it does.
 async fn watch_trial(router: Arc<Router>, content: ContentId, canary: CanaryCall, server: Arc<Server>) {
-    let has_survived = crash_check::lives_on(&server).await;
+    let has_survived = crash_check::survives(&server).await;
     if has_survived {
         quarantine::release(&router, content).await;
     }
--- a/crates/router/src/crash_check.rs
+++ b/crates/router/src/crash_check.rs
@@ -1,4 +1,4 @@
-//! Finds out whether a server's process is gone, as opposed to one connection to it.
+//! Checks whether the process of a server has crashed or only one connection to it was lost.
 
 use std::io::ErrorKind;
 use std::sync::Arc;
@@ -11,40 +11,41 @@
 use crate::router::Router;
 use crate::server::Server;
 
-/// How long after a lost connection the server is connected to: its listening port closes with the
-/// process, not before the connections.
-const CHECK_AFTER: Duration = Duration::from_millis(5);
-/// How long connecting may take; the regions are up to 12 ms apart one way.
-const CHECK_WITHIN: Duration = Duration::from_millis(300);
+/// Delay from the loss of a connection to the connection attempt that checks the server: the listening port closes when
+/// the process exits, and not before its connections close.
+const CHECK_DELAY: Duration = Duration::from_millis(5);
+/// Timeout of that connection attempt; the one-way latency between regions is up to 12 ms.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Checks a server that lost a connection with a call on it.
+/// Checks a server after a connection with an open call on it was lost.
 pub fn check_after_loss(router: &Arc<Router>, server: &Arc<Server>) {
     if server.is_crashed() {
         return;
     }
-    // What it works on now, since those calls are about to end as well.
+    // Taken now, since its other open calls are about to end as well.
     let suspects = server.recent_work(router.clock.now());
     tokio::spawn(check(router.clone(), server.clone(), suspects));
 }
 
-/// Notes that a server refused a connection: its process is gone.
+/// Records that a server refused a connection, which shows that its process has crashed.
 pub fn note_refused(router: &Arc<Router>, server: &Server) {
     note_crash(router, server, &server.recent_work(router.clock.now()));
 }
 
-/// Whether a server that has just answered lives on for a while.
-pub async fn lives_on(server: &Server) -> bool {
+/// Whether a server that has just answered is still up after [`SURVIVAL_DELAY`].
+pub async fn survives(server: &Server) -> bool {
     tokio::time::sleep(SURVIVAL_DELAY).await;
     !server.is_crashed() && matches!(connect(server).await, Some(Ok(_)))
 }
 
-/// Connects to a server, if that does not take too long.
+/// Connects to a server; `None` if the attempt timed out.
 async fn connect(server: &Server) -> Option<std::io::Result<TcpStream>> {
-    tokio::time::timeout(CHECK_WITHIN, TcpStream::connect(server.address)).await.ok()
+    tokio::time::timeout(CHECK_TIMEOUT, TcpStream::connect(server.address)).await.ok()
 }
 
+/// Connects to a server: success shows that it is up, and a refused connection that it has crashed.
 async fn check(router: Arc<Router>, server: Arc<Server>, suspects: Vec<CrashSuspect>) {
-    tokio::time::sleep(CHECK_AFTER).await;
+    tokio::time::sleep(CHECK_DELAY).await;
     match connect(&server).await {
         Some(Ok(_)) => server.note_alive(router.clock.now()),
         Some(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => note_crash(&router, &server, &suspects),
@@ -52,6 +53,7 @@
     }
 }
 
+/// Records the crash of a server during the given contents, once per run of the server.
 fn note_crash(router: &Arc<Router>, server: &Server, suspects: &[CrashSuspect]) {
     if suspects.is_empty() || !server.mark_crashed() {
         return;
--- a/crates/router/src/granters.rs
+++ b/crates/router/src/granters.rs
@@ -1,4 +1,5 @@
-//! Which nodes give the credit of a team: the same everywhere by their names.
+//! Chooses the nodes that grant credit to teams: rendezvous hashing over the node names, so that all nodes choose the
+//! same ones without coordination.
 
 use std::collections::BTreeMap;
 
@@ -9,35 +10,35 @@
 use crate::border::FeedTopic;
 use crate::router::Router;
 
-/// Nodes of each failure domain that give credit: so many links lead there from any node.
+/// Number of nodes per failure domain that grant credit; each node connects to at most this many of them.
 const GRANTERS: usize = 4;
-/// The key by which they are chosen, the same for all teams (rendezvous hashing).
+/// Hash key for choosing these nodes, the same for all teams.
 const GRANTERS_KEY: &str = "credit";
 
-/// The nodes of each failure domain that give credit.
+/// The nodes of each failure domain that grant credit.
 pub(crate) type GranterMap = BTreeMap<FailureDomain, Vec<NodeEntry>>;
 
-/// The nodes of a failure domain that give credit, of all that could.
+/// Chooses the nodes of one failure domain that grant credit from all its candidates.
 pub(crate) fn choose_granters(nodes: &[&NodeEntry]) -> Vec<NodeEntry> {
     let names = nodes.iter().map(|entry| entry.node.as_str());
     let chosen = choose_owners(names, GRANTERS_KEY, GRANTERS);
     nodes.iter().filter(|entry| chosen.contains(&entry.node.as_str())).map(|entry| (*entry).clone()).collect()
 }
 
-/// At most `count` of the nodes that give credit, in the order in which a team's credit is asked of them.
-pub(crate) fn rank_granters<'a>(lenders: &'a [NodeEntry], team: &TeamName, count: usize) -> Vec<&'a NodeEntry> {
-    let names = lenders.iter().map(|entry| entry.node.as_str());
+/// The first `count` nodes that grant credit, in the order in which they are asked for the credit of a team.
+pub(crate) fn rank_granters<'a>(granters: &'a [NodeEntry], team: &TeamName, count: usize) -> Vec<&'a NodeEntry> {
+    let names = granters.iter().map(|entry| entry.node.as_str());
     let ranked = choose_owners(names, team.as_str(), count);
-    let find = |name: &str| lenders.iter().find(|entry| entry.node.as_str() == name);
+    let find = |name: &str| granters.iter().find(|entry| entry.node.as_str() == name);
     ranked.into_iter().filter_map(find).collect()
 }
 
-/// The failure domains that have nodes which give credit.
-pub(crate) fn known_domains(lenders: &GranterMap) -> Vec<&str> {
-    lenders.keys().map(FailureDomain::as_str).collect()
+/// The failure domains in which there are nodes that grant credit.
+pub(crate) fn known_domains(granters: &GranterMap) -> Vec<&str> {
+    granters.keys().map(FailureDomain::as_str).collect()
 }
 
-/// Among which failure domains credit is divided.
+/// The failure domains among which credit is divided, as this node knows them.
 pub(crate) fn credit_domains<'a>(router: &Router, known: &'a [&'a str]) -> CreditDomains<'a> {
     CreditDomains {
         known,
@@ -46,21 +47,21 @@
     }
 }
 
-/// The node that lends from the pool of a team.
-pub(crate) fn find_pool<'a>(router: &Router, lenders: &'a GranterMap, team: &TeamName) -> Option<&'a NodeEntry> {
-    let known = known_domains(lenders);
-    let home = credit_domains(router, &known).find_pool(team)?.to_owned();
-    let here = lenders.iter().find(|(domain, _)| domain.as_str() == home);
-    rank_granters(here?.1, team, 1).first().copied()
+/// The node that grants credit from the pool of a team; `None` before the full list of nodes is known.
+pub(crate) fn find_pool<'a>(router: &Router, granters: &'a GranterMap, team: &TeamName) -> Option<&'a NodeEntry> {
+    let known = known_domains(granters);
+    let pool_domain = credit_domains(router, &known).find_pool(team)?.to_owned();
+    let found = granters.iter().find(|(domain, _)| domain.as_str() == pool_domain);
+    rank_granters(found?.1, team, 1).first().copied()
 }
 
-/// Whether this node is the first to deal out a team's credit in its failure domain.
-pub(crate) fn is_domain_granter(router: &Router, lenders: &GranterMap, team: &TeamName) -> bool {
-    let here = lenders.get(&router.settings.failure_domain).map_or(&[][..], Vec::as_slice);
-    rank_granters(here, team, 1).first().is_some_and(|entry| entry.node == router.settings.node)
+/// Whether this node is the first to be asked for the credit of a team in its failure domain.
+pub(crate) fn is_domain_granter(router: &Router, granters: &GranterMap, team: &TeamName) -> bool {
+    let local = granters.get(&router.settings.failure_domain).map_or(&[][..], Vec::as_slice);
+    rank_granters(local, team, 1).first().is_some_and(|entry| entry.node == router.settings.node)
 }
 
-/// Whether this node lends from a team's pool.
-pub(crate) fn is_pool(router: &Router, lenders: &GranterMap, team: &TeamName) -> bool {
-    find_pool(router, lenders, team).is_some_and(|entry| entry.node == router.settings.node)
+/// Whether this node grants credit from the pool of a team.
+pub(crate) fn is_pool(router: &Router, granters: &GranterMap, team: &TeamName) -> bool {
+    find_pool(router, granters, team).is_some_and(|entry| entry.node == router.settings.node)
 }
--- a/crates/router/src/peer_gather.rs
+++ b/crates/router/src/peer_gather.rs
@@ -1,4 +1,4 @@
-//! A gather over the shards of a batch, for another node.
+//! Sends the calls of a delegated batch to its shards and builds the replies to the entry node.
 
 use std::time::Duration;
 
@@ -12,37 +12,38 @@
 use crate::gather::GatherRound;
 use crate::pace_report::tell_paces;
 
-/// The shards of a batch, asked for another node.
+/// A gather over the shards of a batch of another node.
 pub struct PeerGather<'a> {
     round: GatherRound<'a>,
     mode: BatchMode,
-    told: usize,
+    /// Number of answered shards in the last reply.
+    replied: usize,
 }
 
 impl<'a> PeerGather<'a> {
-    /// Starts to ask the shards.
-    pub fn start(context: &'a AttemptContext, fold: &GatherSpec, batch: &ShardBatch, reply_within: Duration) -> Self {
+    /// Sends the first call to each shard.
+    pub fn start(context: &'a AttemptContext, spec: &GatherSpec, batch: &ShardBatch, reply_within: Duration) -> Self {
         let limit = context.request.deadline.since(context.request.started);
-        let rule = FoldRule { target: reply_within.min(limit), limit, min_coverage: 0.0, shards: fold.shards.len() };
-        let mut round = GatherRound::new(context, fold, rule);
+        let rule = FoldRule { target: reply_within.min(limit), limit, min_coverage: 0.0, shards: spec.shards.len() };
+        let mut round = GatherRound::new(context, spec, rule);
         for (slot, shard) in round.slots.iter_mut().zip(&batch.shards) {
             slot.attempts.rights = SendPermission::Delegated { reserved: shard.kept.clone() };
         }
         round.start_rest();
-        Self { round, mode: batch.mode, told: 0 }
+        Self { round, mode: batch.mode, replied: 0 }
     }
 
-    /// The next reply: one with what is there once the wanted time is over, one with each
-    /// shard that comes after, and at last one with all that will come. Only the last is
-    /// marked so.
+    /// Waits for the next reply and returns whether it is the last one. The first reply has the answers received when
+    /// the requested time is over, a further one follows for each later answer, and the last one is sent when all
+    /// shards have answered or no further answer can arrive in time.
     pub async fn next(&mut self) -> (ShardReply, bool) {
         loop {
             self.round.wait().await;
             let answered = self.round.answered();
             let elapsed = self.round.context.now().since(self.round.context.request.started);
             let is_last = self.round.pending() == 0 || elapsed >= self.round.rule.limit;
-            if is_last || answered > self.told {
-                self.told = answered;
+            if is_last || answered > self.replied {
+                self.replied = answered;
                 return (self.round.reply(self.mode), is_last);
             }
             self.round.wait_for_more().await;
@@ -51,6 +52,7 @@
 }
 
 impl GatherRound<'_> {
+    /// Builds a reply with the answers received so far, the missing shards and the reports of this failure domain.
     pub(crate) fn reply(&self, mode: BatchMode) -> ShardReply {
         let mut shards = Vec::new();
         let mut missing = Vec::new();
@@ -76,11 +78,11 @@
         };
         let crashed = self.context.router.cluster.quarantine.crashed(self.context.request.suspect.content);
         let waits = self.context.view.waits.report(self.context.now());
-        let report = DomainReport { waits, paces: self.tell_paces() };
+        let report = DomainReport { waits, paces: self.server_paces() };
         ShardReply { version, is_stopping: false, shards, missing, records, crashed, report }
     }
 
-    fn tell_paces(&self) -> Vec<ServerPace> {
+    fn server_paces(&self) -> Vec<ServerPace> {
         let services = self.slots.iter().map(|slot| &slot.attempts.service);
         tell_paces(self.context.now(), &self.context.view, services)
     }
--- a/crates/router/src/peer_service.rs
+++ b/crates/router/src/peer_service.rs
@@ -1,4 +1,5 @@
-//! What this node does for others: queries shards near it and folds them.
+//! Server side of the traffic between nodes: sends the calls of delegated batches to nearby shards and merges the
+//! answers, and serves requests for cluster state, credit, quarantine updates and the relay.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,18 +31,18 @@
 use crate::router::{LiveCount, Router, RouterPhase};
 use crate::usage::{self, CreditRequest, PATH_CREDIT};
 
-/// The largest batch taken: a caller's head and body, and the names of the shards.
-const BATCH_LIMIT: usize = 8 << 20;
-/// The largest question about the cluster taken.
-const KNOWLEDGE_LIMIT: usize = 1 << 10;
-/// The largest request for credit taken: a team's name and some numbers.
-const CREDIT_LIMIT: usize = 1 << 8;
-/// The largest news of a content that ends servers taken: the content and the names of some servers.
-const QUARANTINE_LIMIT: usize = 8 << 10;
-/// Links are opened ahead of the first batch.
-const FIRST_MESSAGE_WITHIN: Duration = Duration::from_secs(120);
-
-/// A router as other nodes see it.
+/// Maximum length of a batch in bytes: the head and body of a caller's request, and the names of the shards.
+const MAX_BATCH_LEN: usize = 8 << 20;
+/// Maximum length in bytes of a request for cluster state or for the relay.
+const MAX_QUERY_LEN: usize = 1 << 10;
+/// Maximum length of a credit request in bytes: the name of a team and a few numbers.
+const MAX_CREDIT_LEN: usize = 1 << 8;
+/// Maximum length of a quarantine update in bytes: the content and the names of some servers.
+const MAX_QUARANTINE_LEN: usize = 8 << 10;
+/// How long a new connection may stay without a message. Nodes connect to each other before they have a batch to send.
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(120);
+
+/// The service that a router offers to other nodes.
 struct RouterService(Arc<Router>);
 
 impl PeerService for RouterService {
@@ -66,16 +67,16 @@
     }
 
     fn first_message_timeout(&self) -> Duration {
-        FIRST_MESSAGE_WITHIN
+        FIRST_MESSAGE_TIMEOUT
     }
 }
 
-/// Serves other nodes until this one ends.
+/// Serves other nodes until this one stops.
 pub async fn serve(router: Arc<Router>, listener: Arc<TcpListener>) {
     server::serve(Arc::new(RouterService(router)), listener).await;
 }
 
-/// Tells a node of another version that its message is not known here; the link stays open.
+/// Answers an unknown path, which a node of another version may send, with 404; the connection stays open.
 fn refuse_path(path: &str, respond: &mut SendResponse<Bytes>) -> Result<(), PeerError> {
     tracing::info!(event = "peer_path_unknown", path);
     let mut refusal = Response::new(());
@@ -89,11 +90,11 @@
     body: RecvStream,
     respond: &mut SendResponse<Bytes>,
 ) -> Result<(), PeerError> {
-    let batch: ShardBatch = read_message(body, BATCH_LIMIT).await?;
+    let batch: ShardBatch = read_message(body, MAX_BATCH_LEN).await?;
     if *router.phase.borrow() == RouterPhase::Closing {
         return refuse(respond);
     }
-    if let Err(wait) = router.admit_batch(batch.shards.len(), wait_bound(&batch)) {
+    if let Err(wait) = router.admit_batch(batch.shards.len(), max_wait(&batch)) {
         metrics::counter!("streamfold_batches_refused_total").increment(1);
         tracing::info!(
             event = "batch_refused",
@@ -104,27 +105,27 @@
         return refuse(respond);
     }
     let _count = LiveCount::new(&router.requests);
-    let taken = router.clock.now();
+    let accepted = router.clock.now();
     router.note_version(batch.version);
     let context = build_context(router, &batch)?;
-    let alive_within = Duration::from_micros(batch.alive_within_us);
+    let first_frame_delay = Duration::from_micros(batch.alive_within_us);
     let reply_within = Duration::from_micros(batch.reply_within_us);
     let mut stream = respond.send_response(Response::new(()), false)?;
-    let RouteTarget::Gather(fold) = &context.route.target else { return Err(PeerError::BadStatus(400)) };
-    let mut gather = PeerGather::start(&context, fold, &batch, reply_within);
-    let alive = tokio::time::sleep(alive_within);
-    tokio::pin!(alive);
-    let mut is_told = false;
+    let RouteTarget::Gather(spec) = &context.route.target else { return Err(PeerError::BadStatus(400)) };
+    let mut gather = PeerGather::start(&context, spec, &batch, reply_within);
+    let first_frame_timer = tokio::time::sleep(first_frame_delay);
+    tokio::pin!(first_frame_timer);
+    let mut has_sent_frame = false;
     loop {
         tokio::select! {
             biased;
-            // The asking node is done with it or its caller has left: no call starts any more.
+            // The entry node needs no more answers or its caller has disconnected, so no further call is sent.
             _ = std::future::poll_fn(|cx| stream.poll_reset(cx)) => {
-                log_cancelled(&context, taken);
+                log_cancelled(&context, accepted);
                 return Ok(());
             }
             (reply, is_last) = gather.next() => {
-                is_told = true;
+                has_sent_frame = true;
                 let is_stopping = *router.phase.borrow() != RouterPhase::Serving;
                 let reply = ShardReply { is_stopping, ..reply };
                 let frame = if is_last { BatchFrame::Done(reply) } else { BatchFrame::Partial(reply) };
@@ -133,30 +134,30 @@
                     return Ok(());
                 }
             }
-            () = &mut alive, if !is_told => {
-                is_told = true;
+            () = &mut first_frame_timer, if !has_sent_frame => {
+                has_sent_frame = true;
                 send_frame(&mut stream, encode_frame(&BatchFrame::Working)?, false).await?;
             }
         }
     }
 }
 
-fn log_cancelled(context: &AttemptContext, taken: Moment) {
+fn log_cancelled(context: &AttemptContext, accepted: Moment) {
     tracing::info!(
         event = "batch_cancelled",
         request = context.request.id_text(),
-        after_us = context.now().since(taken).as_micros() as u64
+        after_us = context.now().since(accepted).as_micros() as u64
     );
 }
 
-/// The time that bounds a batch's waiting: until its reply is wanted, or for hedges, whose answers are
-/// wanted as soon as they are there, the target latency.
-fn wait_bound(batch: &ShardBatch) -> Duration {
-    let within = match batch.mode {
+/// The longest time that a batch may queue: until its reply is due or, for hedged calls, which are answered as soon as
+/// possible, the target latency.
+fn max_wait(batch: &ShardBatch) -> Duration {
+    let bound_us = match batch.mode {
         BatchMode::Folded => batch.reply_within_us,
         BatchMode::Each { .. } => batch.target_us,
     };
-    Duration::from_micros(within)
+    Duration::from_micros(bound_us)
 }
 
 async fn serve_knowledge(
@@ -164,12 +165,12 @@
     body: RecvStream,
     respond: &mut SendResponse<Bytes>,
 ) -> Result<(), PeerError> {
-    let request: KnowledgeRequest = read_message(body, KNOWLEDGE_LIMIT).await?;
+    let request: KnowledgeRequest = read_message(body, MAX_QUERY_LEN).await?;
     reply(respond, &knowledge::tell(router, &request)).await
 }
 
 async fn serve_credit(router: &Router, body: RecvStream, respond: &mut SendResponse<Bytes>) -> Result<(), PeerError> {
-    let request: CreditRequest = read_message(body, CREDIT_LIMIT).await?;
+    let request: CreditRequest = read_message(body, MAX_CREDIT_LEN).await?;
     match usage::serve(router, &request).await {
         Some(credit) => reply(respond, &credit).await,
         None => refuse(respond),
@@ -181,22 +182,25 @@
     body: RecvStream,
     respond: &mut SendResponse<Bytes>,
 ) -> Result<(), PeerError> {
-    let news: QuarantineUpdate = read_message(body, QUARANTINE_LIMIT).await?;
-    let known = quarantine_news::take(router, news).await;
-    reply(respond, &known).await
+    let update: QuarantineUpdate = read_message(body, MAX_QUARANTINE_LEN).await?;
+    let ack = quarantine_news::receive(router, update).await;
+    reply(respond, &ack).await
 }
 
 async fn serve_relay(router: &Router, body: RecvStream, respond: &mut SendResponse<Bytes>) -> Result<(), PeerError> {
-    let request: RelayRequest = read_message(body, KNOWLEDGE_LIMIT).await?;
+    let request: RelayRequest = read_message(body, MAX_QUERY_LEN).await?;
     relay_service::serve(router, &request, respond).await
 }
 
-/// The team of a batch, by the routes in force here.
+/// The team of a batch according to the routes that this node has in force.
 fn find_team(view: &ClusterView, batch: &ShardBatch) -> Option<Arc<TeamSpec>> {
     view.table.as_ref()?.teams()?.find_by_name(batch.team.as_ref()?).cloned()
 }
 
-/// The batch as a request of its own, over just its shards.
+/// Builds the context in which a batch is processed as a request to its shards only.
+///
+/// # Errors
+/// The copied request is malformed.
 fn build_context(router: &Arc<Router>, batch: &ShardBatch) -> Result<AttemptContext, PeerError> {
     let malformed = |_| PeerError::BadStatus(400);
     let (id, method, uri, headers) = batch.request.read().map_err(malformed)?;
@@ -206,7 +210,7 @@
     *copy.headers_mut() = headers;
     let (parts, ()) = copy.into_parts();
     let now = router.clock.now();
-    // The node that asks has checked the key and taken it out.
+    // The entry node has checked the API key and removed it.
     let head = CallerHead { request: id, deadline: None, key: ShownKey::None };
     let body = Bytes::copy_from_slice(&batch.request.body);
     let left = Duration::from_micros(batch.left_us);
@@ -214,7 +218,7 @@
     let view = router.cluster.view();
     let times = view.times.get(&batch.route).cloned().unwrap_or_default();
     let shards = batch.shards.iter().map(|shard| shard.service.clone()).collect();
-    let fold = GatherSpec { shards, top: batch.top, min_coverage: 0.0 };
+    let spec = GatherSpec { shards, top: batch.top, min_coverage: 0.0 };
     let route = RouteSpec {
         name: batch.route.clone(),
         host: String::new(),
@@ -226,11 +230,11 @@
         priority: batch.priority,
         allowed_regions: batch.homes.clone(),
         is_auth_exempt: true,
-        target: RouteTarget::Gather(fold),
+        target: RouteTarget::Gather(spec),
     };
     let (asker, request_share) = match batch.mode {
         BatchMode::Folded => (RequestAsker::Node, 1.0 - ASKING_SHARE),
-        // The asking node has counted it as an extra call.
+        // The entry node has counted the call as an extra call.
         BatchMode::Each { .. } => (RequestAsker::Hedger, 0.0),
     };
     let retry_until = now.plus(Duration::from_micros(batch.reply_within_us));
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -1,4 +1,5 @@
-//! Other nodes: the links to them, what is believed of them, and batches sent to them.
+//! Client side of the traffic between nodes: the connection to each other node, its estimated state, and the batches of
+//! shard calls that are delegated to it.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,48 +14,48 @@
 use crate::domain::DomainState;
 use crate::router::Router;
 
-/// Batches that a node works on at the same time before more of them wait.
-const PEER_SLOTS: u32 = 16;
-/// How often links that are down are tried again.
-const CONNECT_EVERY: Duration = Duration::from_millis(500);
-/// The same for a node that has just started: where all were killed together the others come up
-/// within half a second, and until then far shards are asked for directly.
-const START_CONNECT_EVERY: Duration = Duration::from_millis(100);
-/// How long a node counts as just started.
-const START_TIME: Duration = Duration::from_secs(2);
-
-/// How much later than its sign of life is due a batch is taken back. Together with the longest wait
-/// for that sign it is under the half second that servers' times may exceed the caller's.
+/// Number of batches that a node is assumed to process concurrently; more of them queue there.
+const PEER_CONCURRENCY: u32 = 16;
+/// Average interval between attempts to reopen closed connections.
+const CONNECT_INTERVAL: Duration = Duration::from_millis(500);
+/// The same interval while this node starts. After all nodes were killed together, the others restart within half a
+/// second; until they are connected, calls to shards in other failure domains are sent directly.
+const START_CONNECT_INTERVAL: Duration = Duration::from_millis(100);
+/// Time after its start during which a node uses the shorter interval.
+const STARTUP_TIME: Duration = Duration::from_secs(2);
+
+/// Time after which a batch is cancelled when its first message is overdue. Together with the longest wait for that
+/// message it is below the 500 ms by which the time limits of servers may exceed that of the caller.
 const MAX_TRANSIT: Duration = Duration::from_millis(300);
 
-/// Another node.
+/// A node that this one is connected to.
 pub struct PeerNode {
-    /// Its entry.
+    /// Its entry in the node list.
     pub entry: NodeEntry,
     /// Its failure domain.
     pub domain: Arc<DomainState>,
-    /// Whether it is an owner in its failure domain.
+    /// Whether it is an owner of its failure domain.
     pub is_owner: bool,
-    /// The link to it.
+    /// The connection to it.
     pub link: Arc<PeerLink>,
     state: Mutex<ReplicaState>,
     is_stopping: AtomicBool,
 }
 
 impl PeerNode {
-    /// A node that is not connected to yet.
+    /// Creates a node with a closed connection.
     pub fn new(entry: NodeEntry, domain: Arc<DomainState>, is_owner: bool) -> Arc<Self> {
         let link = PeerLink::new(entry.peer_address);
-        let state = Mutex::new(ReplicaState::new(PEER_SLOTS, Moment::default()));
+        let state = Mutex::new(ReplicaState::new(PEER_CONCURRENCY, Moment::default()));
         Arc::new(Self { entry, domain, is_owner, link, state, is_stopping: AtomicBool::new(false) })
     }
 
-    /// What is believed of it.
+    /// Its estimated load and the outcomes of earlier batches.
     pub fn state(&self) -> MutexGuard<'_, ReplicaState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether it may be given work.
+    /// Whether batches may be sent to it: it is connected, reachable, not stopping and not avoided after failures.
     pub fn is_usable(&self, now: Moment) -> bool {
         self.link.is_open()
             && !self.domain.is_dark(now)
@@ -62,13 +63,13 @@
             && !self.state().is_avoided(now)
     }
 
-    /// Marks it as about to stop; its next run has another entry.
+    /// Marks it as stopping. The mark needs no reset, since a restarted node has a new entry.
     pub fn mark_stopping(&self) {
         self.is_stopping.store(true, Ordering::Relaxed);
     }
 }
 
-/// Keeps the links to other nodes connected until the node ends.
+/// Reopens closed connections to other nodes until this node stops.
 pub async fn keep_connected(router: Arc<Router>) {
     loop {
         let view = router.cluster.view();
@@ -81,69 +82,69 @@
                 }
             });
         }
-        let pause = if router.uptime() < START_TIME { START_CONNECT_EVERY } else { CONNECT_EVERY };
+        let interval = if router.uptime() < STARTUP_TIME { START_CONNECT_INTERVAL } else { CONNECT_INTERVAL };
         tokio::select! {
-            () = tokio::time::sleep(pause.mul_f64(rand::random_range(0.8..1.2))) => {}
+            () = tokio::time::sleep(interval.mul_f64(rand::random_range(0.8..1.2))) => {}
             () = router.nodes_learnt.notified() => {}
         }
     }
 }
 
-/// A batch under way at another node. Dropped, the work there is cancelled.
+/// A batch in progress at another node. Dropping it cancels the work there.
 pub struct PendingBatch {
-    /// The node.
+    /// The node that processes the batch.
     pub peer: Arc<PeerNode>,
     reader: Option<FrameReader>,
-    record: PeerRecord,
+    recorder: OutcomeRecorder,
 }
 
-/// Tells the node's state how a batch ended, also when it is dropped.
-struct PeerRecord {
+/// Records the outcome of a batch in the state of its node when dropped.
+struct OutcomeRecorder {
     peer: Arc<PeerNode>,
     router: Arc<Router>,
     started: Moment,
     sample: CallSample,
 }
 
-impl Drop for PeerRecord {
+impl Drop for OutcomeRecorder {
     fn drop(&mut self) {
         let now = self.router.clock.now();
         self.peer.state().finish(now, self.started, self.sample);
     }
 }
 
-/// What happened to a batch.
+/// An event of a batch in progress.
 pub enum BatchEvent {
-    /// A frame came.
+    /// A frame arrived.
     Frame(BatchFrame),
-    /// It failed.
+    /// The batch failed.
     Failed(PeerError),
 }
 
 impl PendingBatch {
-    /// A batch about to be sent.
+    /// Registers a batch that is about to be sent with the state of its node.
     pub fn new(router: Arc<Router>, peer: Arc<PeerNode>) -> Self {
         let started = router.clock.now();
         peer.state().start(started);
-        let record = PeerRecord { peer: peer.clone(), router, started, sample: CallSample::Abandoned };
-        Self { peer, reader: None, record }
+        let recorder = OutcomeRecorder { peer: peer.clone(), router, started, sample: CallSample::Abandoned };
+        Self { peer, reader: None, recorder }
     }
 
-    /// Sends the batch and waits for its first frame. The batch tells how long its request may still
-    /// run as of now, so it is taken back when nothing is heard of it for too long: a node that only
-    /// then begins would hand servers more time than the caller has.
+    /// Sends the batch and waits for its first frame. The batch holds the remaining time of its request as of now, so
+    /// it is cancelled if the first frame is overdue: a node that starts it later would give servers more time than the
+    /// caller has.
     pub async fn send(mut self, batch: ShardBatch) -> (Self, BatchEvent) {
-        let within = Duration::from_micros(batch.alive_within_us) + MAX_TRANSIT;
+        let first_frame_timeout = Duration::from_micros(batch.alive_within_us) + MAX_TRANSIT;
         let link = self.peer.link.clone();
-        let begun = async move {
+        let started = async move {
             let mut reader = link.stream(PATH_BATCH, &batch).await?;
             let first = reader.next::<BatchFrame>().await?.ok_or(PeerError::EndedEarly)?;
             Ok::<_, PeerError>((reader, first))
         };
-        match tokio::time::timeout(within, begun).await {
+        match tokio::time::timeout(first_frame_timeout, started).await {
             Ok(Ok((reader, first))) => {
                 self.reader = Some(reader);
-                self.note_frame(&first);
+                self.record_frame(&first);
                 (self, BatchEvent::Frame(first))
             }
             Ok(Err(error)) => self.fail(error),
@@ -151,11 +152,11 @@
         }
     }
 
-    /// Notes what a frame tells of the node.
-    fn note_frame(&mut self, frame: &BatchFrame) {
-        self.peer.domain.note_heard(self.record.router.clock.now());
+    /// Records the contact with the node and, for the last frame, the success of the batch.
+    fn record_frame(&mut self, frame: &BatchFrame) {
+        self.peer.domain.note_heard(self.recorder.router.clock.now());
         if let BatchFrame::Done(_) = frame {
-            self.record.sample = CallSample::Answered;
+            self.recorder.sample = CallSample::Answered;
         }
     }
 
@@ -164,7 +165,7 @@
         let Some(reader) = &mut self.reader else { return self.fail(PeerError::NotConnected) };
         match reader.next::<BatchFrame>().await {
             Ok(Some(frame)) => {
-                self.note_frame(&frame);
+                self.record_frame(&frame);
                 (self, BatchEvent::Frame(frame))
             }
             Ok(None) => self.fail(PeerError::EndedEarly),
@@ -173,7 +174,7 @@
     }
 
     fn fail(mut self, error: PeerError) -> (Self, BatchEvent) {
-        self.record.sample = if error.is_refused() { CallSample::Full } else { CallSample::Failed };
+        self.recorder.sample = if error.is_refused() { CallSample::Full } else { CallSample::Failed };
         (self, BatchEvent::Failed(error))
     }
 }
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -1,5 +1,6 @@
-//! Contents that end the servers that run them: noted, told to all nodes through the platform's store, held
-//! off, and tried again at one server after a while. The rules are in `policy::crash_tracker`.
+//! Quarantine of request contents that crash the servers that run them. Crashes are recorded, published to all nodes
+//! through the platform's store, and a quarantined content is tried again at one server after a delay. The rules are in
+//! `policy::crash_tracker`.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,31 +20,32 @@
 use crate::store_call::{self, CallReason};
 use crate::store_turn::choose_pause;
 
-/// How long a node tries to tell the others of a content: the store is away at most for seconds, and a
-/// content that comes again is noted again.
-const TELL_WITHIN: Duration = Duration::from_secs(30);
-/// How long a request waits to become the one that tries a content again, while its caller could have been told
-/// when to come back: two calls to the store take some 20 ms.
-const CLAIM_WITHIN: Duration = Duration::from_millis(250);
+/// How long a node tries to write an entry to the store: store outages last only seconds, and a content that is
+/// requested again is recorded again.
+const PUBLISH_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long a request waits for its claim to be the trial of a content. Its caller could be refused with a retry time
+/// instead, so the wait is short; the two calls to the store take about 20 ms.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What a node knows of contents that end servers.
+/// One node's record of contents that crash servers.
 #[derive(Default)]
 pub struct CrashQuarantine {
-    book: Mutex<CrashTracker>,
-    /// Whether anything is known of any content: most of the time nothing is, and no request waits for a lock.
+    tracker: Mutex<CrashTracker>,
+    /// Whether there is a record of any content. Usually there is none, and then requests need not take the lock.
     is_used: AtomicBool,
 }
 
 impl CrashQuarantine {
-    fn book(&self) -> MutexGuard<'_, CrashTracker> {
-        self.book.lock().unwrap_or_else(PoisonError::into_inner)
+    fn tracker(&self) -> MutexGuard<'_, CrashTracker> {
+        self.tracker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Applies a change to the tracker and updates the metrics.
     fn change<T>(&self, change: impl FnOnce(&mut CrashTracker) -> T) -> T {
-        let mut book = self.book();
-        let changed = change(&mut book);
-        self.is_used.store(!book.is_empty(), Ordering::Relaxed);
-        metrics::gauge!("streamfold_quarantined_contents").set(book.count_quarantined() as f64);
+        let mut tracker = self.tracker();
+        let changed = change(&mut tracker);
+        self.is_used.store(!tracker.is_empty(), Ordering::Relaxed);
+        metrics::gauge!("streamfold_quarantined_contents").set(tracker.count_quarantined() as f64);
         changed
     }
 
@@ -51,144 +53,147 @@
         self.is_used.load(Ordering::Relaxed)
     }
 
-    /// How a request with a content is treated now.
+    /// How a request with a content is to be treated now.
     pub fn status(&self, now: Moment, content: ContentId) -> ContentStatus {
-        if self.is_used() { self.book().status(now, content) } else { ContentStatus::Clear }
+        if self.is_used() { self.tracker().status(now, content) } else { ContentStatus::Clear }
     }
 
-    /// Servers that ended under a content, as far as is known.
+    /// The servers that are known to have crashed during a content.
     pub fn crashed(&self, content: ContentId) -> Vec<ServerRun> {
-        if self.is_used() { self.book().crashed(content).into_iter().collect() } else { Vec::new() }
+        if self.is_used() { self.tracker().crashed(content).into_iter().collect() } else { Vec::new() }
     }
 
-    /// Notes that a server answered a request with a content; whether it is to be found out if it lives on.
+    /// Records that a server answered a request with a content. Returns whether the caller has to check the survival of
+    /// the server.
     fn note_answer(&self, content: ContentId, server: &ServerRun) -> bool {
-        self.is_used() && self.book().note_answer(content, server)
+        self.is_used() && self.tracker().note_answer(content, server)
     }
 
-    /// Notes that a request with a content was answered whole.
+    /// Records a complete answer to a request with a content.
     pub fn note_served(&self, now: Moment, content: ContentId) {
         if self.is_used() {
-            self.book().note_served(now, content);
+            self.tracker().note_served(now, content);
         }
     }
 
-    /// Holds a content off that was found to end servers; what is to be told to all nodes, if that is news.
+    /// Quarantines a content that was found to crash servers. Returns the entry to send to all nodes, or `None` if the
+    /// content is already quarantined.
     pub(crate) fn quarantine_content(&self, now: Moment, content: ContentId) -> Option<CrashEntry> {
-        let entry = self.change(|book| book.quarantine(now, content))?;
-        tracing::warn!(event = "content_blamed", %content, crashed = join(&entry.crashed));
+        let entry = self.change(|tracker| tracker.quarantine(now, content))?;
+        tracing::warn!(event = "content_blamed", %content, crashed = join_servers(&entry.crashed));
         Some(entry)
     }
 
-    /// Takes that another node found a content to end servers; whether that is news.
+    /// Applies the report that another node has quarantined a content or tries it again. Returns whether it changed the
+    /// record.
     pub(crate) fn put_quarantined(&self, now: Moment, entry: &CrashEntry) -> bool {
-        let is_news = self.change(|book| book.put_quarantined(now, entry));
-        if is_news {
+        let is_new = self.change(|tracker| tracker.put_quarantined(now, entry));
+        if is_new {
             let crashed = entry.crashed.len();
             let source = NewsOrigin::Peer;
             let (content, trials) = (entry.content, entry.trials);
             tracing::warn!(event = "content_held", %content, crashed, trials, %source);
         }
-        is_news
+        is_new
     }
 
-    /// Takes what the store holds of a content.
+    /// Applies the entry of a content in the store.
     pub(crate) fn put(&self, now: Moment, entry: CrashEntry, origin: NewsOrigin) {
         let (content, servers, trials) = (entry.content, entry.crashed.len(), entry.trials);
-        if self.change(|book| book.put_shared(now, entry)) {
+        if self.change(|tracker| tracker.put_shared(now, entry)) {
             tracing::warn!(event = "content_held", %content, crashed = servers, trials, source = %origin);
         }
     }
 
-    /// Takes that the store holds nothing of a content any more.
+    /// Applies the removal of a content from the store.
     pub(crate) fn remove(&self, content: ContentId) {
-        if self.change(|book| book.remove_shared(content)) {
+        if self.change(|tracker| tracker.remove_shared(content)) {
             tracing::info!(event = "content_released", %content);
         }
     }
 
-    /// The contents that the store is known to hold.
+    /// The contents that are known to be in the store.
     pub(crate) fn contents(&self) -> Vec<ContentId> {
-        self.book().shared_contents()
+        self.tracker().shared_contents()
     }
 
-    /// What the store is known to hold.
+    /// The known entries of the store.
     pub(crate) fn entries(&self) -> Vec<CrashEntry> {
-        self.book().shared_entries()
+        self.tracker().shared_entries()
     }
 }
 
-/// Notes that a server ended while it worked on something or just after.
+/// Records that a server crashed while it ran the given contents or just after.
 pub(crate) fn note_crash(router: &Arc<Router>, server: &ServerRun, suspects: &[CrashSuspect]) {
     let now = router.clock.now();
     for suspect in suspects {
-        if router.cluster.quarantine.change(|book| book.note_crash(now, suspect.content, server)) {
-            tokio::spawn(settle(router.clone(), *suspect));
+        if router.cluster.quarantine.change(|tracker| tracker.note_crash(now, suspect.content, server)) {
+            tokio::spawn(decide(router.clone(), *suspect));
         }
     }
 }
 
-/// Notes that a server answered a request with a content, and if servers ended under that finds out whether
-/// this one lives on.
+/// Records that a server answered a request with a content. If servers have crashed during that content, also checks
+/// whether this one survives.
 pub(crate) fn note_answer(router: &Arc<Router>, content: ContentId, server: &Arc<Server>) {
     if !router.cluster.quarantine.note_answer(content, &server.run()) {
         return;
     }
     let (router, server) = (router.clone(), server.clone());
     tokio::spawn(async move {
-        if crash_check::lives_on(&server).await {
-            router.cluster.quarantine.book().note_survived(content, &server.run());
+        if crash_check::survives(&server).await {
+            router.cluster.quarantine.tracker().note_survived(content, &server.run());
         }
     });
 }
 
-/// Notes servers that ended under a content as another node has told.
+/// Records servers that crashed during a content according to another node.
 pub(crate) fn note_reported(router: &Arc<Router>, suspect: CrashSuspect, servers: &[ServerRun]) {
     if servers.is_empty() {
         return;
     }
     let now = router.clock.now();
-    if router.cluster.quarantine.change(|book| book.note_reported(now, suspect.content, servers)) {
-        tokio::spawn(settle(router.clone(), suspect));
+    if router.cluster.quarantine.change(|tracker| tracker.note_reported(now, suspect.content, servers)) {
+        tokio::spawn(decide(router.clone(), suspect));
     }
 }
 
-/// Decides on a content when servers had time to answer, and tells all nodes of it.
-async fn settle(router: Arc<Router>, suspect: CrashSuspect) {
+/// Decides on a content when servers have had time to answer, and publishes the decision.
+async fn decide(router: Arc<Router>, suspect: CrashSuspect) {
     tokio::time::sleep(DECISION_DELAY).await;
     let now = router.clock.now();
-    let Some(entry) = router.cluster.quarantine.change(|book| book.decide(now, suspect)) else { return };
+    let Some(entry) = router.cluster.quarantine.change(|tracker| tracker.decide(now, suspect)) else { return };
     if entry.crashed.len() >= MIN_CRASHES {
         tracing::warn!(
             event = "content_suspected",
             content = %entry.content,
-            crashed = join(&entry.crashed)
+            crashed = join_servers(&entry.crashed)
         );
     }
-    share(router, entry).await;
+    publish(router, entry).await;
 }
 
-/// Tells all nodes of a content through the platform's store.
-pub(crate) async fn share(router: Arc<Router>, entry: CrashEntry) {
+/// Publishes an entry to all nodes through the platform's store.
+pub(crate) async fn publish(router: Arc<Router>, entry: CrashEntry) {
     let content = entry.content;
-    match tokio::time::timeout(TELL_WITHIN, tell(&router, entry)).await {
-        // Others need not be waited for.
+    match tokio::time::timeout(PUBLISH_TIMEOUT, merge_into_store(&router, entry)).await {
+        // Applied at once, without waiting for the update from the store.
         Ok(entry) => router.cluster.quarantine.put(router.clock.now(), entry, NewsOrigin::Store),
         Err(_) => tracing::warn!(event = "content_not_told", %content),
     }
 }
 
-/// Makes a call of the quarantine.
-async fn ask<T>(call: impl Future<Output = Result<T, StoreError>>) -> Result<T, StoreError> {
+/// Makes a store call on behalf of the quarantine.
+async fn call_store<T>(call: impl Future<Output = Result<T, StoreError>>) -> Result<T, StoreError> {
     store_call::make(FeedTopic::Crashes, CallReason::Quarantine, call).await
 }
 
-fn join(servers: &[ServerRun]) -> String {
+fn join_servers(servers: &[ServerRun]) -> String {
     servers.iter().map(ToString::to_string).collect::<Vec<_>>().join(",")
 }
 
-/// Adds what this node has seen to what the store holds, however often it takes; what it holds then.
-async fn tell(router: &Router, own: CrashEntry) -> CrashEntry {
+/// Adds this node's entry to the one in the store, and retries until it succeeds. Returns the stored entry.
+async fn merge_into_store(router: &Router, own: CrashEntry) -> CrashEntry {
     let mut failures = 0;
     let mut known: Option<(CrashEntry, EntryRevision)> = None;
     loop {
@@ -197,13 +202,13 @@
             return entry;
         }
         let replaces = known.as_ref().map(|(_, revision)| *revision);
-        let written = router.store_turn.call(ask(router.feed.write_crash(&entry, replaces))).await;
+        let written = router.store_turn.call(call_store(router.feed.write_crash(&entry, replaces))).await;
         let error = match written {
             Ok(()) => return entry,
             Err(StoreError::Conflict | StoreError::BadStatus(404)) => {
-                match router.store_turn.call(ask(router.feed.read_crash(own.content))).await {
-                    Ok(held) => {
-                        known = held;
+                match router.store_turn.call(call_store(router.feed.read_crash(own.content))).await {
+                    Ok(stored) => {
+                        known = stored;
                         continue;
                     }
                     Err(error) => error,
@@ -219,19 +224,20 @@
     }
 }
 
-/// Whether this node is the one of all that tries a content again: it was the first to note that it does.
+/// Claims the trial of a quarantined content for a request of this node. Returns false if another node has claimed it
+/// or the store did not answer in time.
 pub(crate) async fn claim_trial(router: &Arc<Router>, content: ContentId) -> bool {
     let quarantine = &router.cluster.quarantine;
-    let shared = quarantine.book().shared_entry(content).cloned();
+    let shared = quarantine.tracker().shared_entry(content).cloned();
     let Some(known) = shared else {
-        let entry = quarantine.change(|book| book.note_local_trial(router.clock.now(), content));
+        let entry = quarantine.change(|tracker| tracker.note_local_trial(router.clock.now(), content));
         tracing::info!(event = "content_tried", %content, trials = 0);
         if let Some(entry) = entry {
-            quarantine_news::tell_all(router, entry).await;
+            quarantine_news::broadcast(router, entry).await;
         }
         return true;
     };
-    let raised = tokio::time::timeout(CLAIM_WITHIN, raise_trials(router, &known)).await;
+    let raised = tokio::time::timeout(CLAIM_TIMEOUT, raise_trials(router, &known)).await;
     match raised.unwrap_or(Err(StoreError::Unreachable)) {
         Ok(Some(entry)) => {
             tracing::info!(event = "content_tried", %content, trials = entry.trials);
@@ -246,34 +252,34 @@
     }
 }
 
-/// Counts one more trial in the store, unless another node has done so.
+/// Increments the number of trials in the store; `None` if another node has done so.
 async fn raise_trials(router: &Router, known: &CrashEntry) -> Result<Option<CrashEntry>, StoreError> {
-    let Some((mut entry, revision)) = ask(router.feed.read_crash(known.content)).await? else { return Ok(None) };
+    let Some((mut entry, revision)) = call_store(router.feed.read_crash(known.content)).await? else { return Ok(None) };
     if entry.trials != known.trials {
         return Ok(None);
     }
     entry.trials += 1;
-    match ask(router.feed.write_crash(&entry, Some(revision))).await {
+    match call_store(router.feed.write_crash(&entry, Some(revision))).await {
         Ok(()) => Ok(Some(entry)),
         Err(StoreError::Conflict | StoreError::BadStatus(404)) => Ok(None),
         Err(error) => Err(error),
     }
 }
 
-/// Gives a content free whose trial did no harm.
+/// Releases a content whose trial crashed no server, or whose entry has expired.
 pub(crate) async fn release(router: &Router, content: ContentId) {
-    let is_shared = router.cluster.quarantine.book().shared_entry(content).is_some();
-    if is_shared && let Err(error) = router.store_turn.call(ask(router.feed.remove_crash(content))).await {
-        // It stays held off, and is tried again.
+    let is_shared = router.cluster.quarantine.tracker().shared_entry(content).is_some();
+    if is_shared && let Err(error) = router.store_turn.call(call_store(router.feed.remove_crash(content))).await {
+        // The content stays quarantined until its next trial.
         tracing::warn!(event = "content_not_released", %content, %error);
         return;
     }
     router.cluster.quarantine.remove(content);
 }
 
-/// Removes what the store need not hold any more.
+/// Releases contents whose entries in the store have expired.
 pub(crate) async fn remove_expired(router: &Router) {
-    let expired = router.cluster.quarantine.book().find_expired(router.clock.now());
+    let expired = router.cluster.quarantine.tracker().find_expired(router.clock.now());
     for content in expired {
         release(router, content).await;
     }
--- a/crates/router/src/quarantine_news.rs
+++ b/crates/router/src/quarantine_news.rs
@@ -1,5 +1,5 @@
-//! What nodes tell each other at once of a content that was found to end servers. The platform's store tells it to all
-//! nodes and keeps it, but a caller that asks again at another node may be sooner, and the store may be away.
+//! Direct quarantine updates between nodes. The platform's store keeps quarantined contents and distributes them to all
+//! nodes, but a caller may retry at another node before the update arrives there, and the store may be unavailable.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,67 +13,71 @@
 use crate::quarantine;
 use crate::router::Router;
 
-/// Path of the news, with the form of the messages.
+/// Path of quarantine updates, with the version of the message format.
 pub const PATH_QUARANTINE: &str = "/1/quarantine";
-/// How long a request is answered later at most, so that other nodes know before its caller can ask them: regions are
-/// up to 12 ms apart one way, and nodes of the own failure domain are told by way of others.
-const KNOWN_WITHIN: Duration = Duration::from_millis(50);
-/// How long another node may take to say that it knows; the link to one that does not is not blamed for less.
-const TELL_TIMEOUT: Duration = Duration::from_secs(1);
+/// The longest time that an answer is delayed so that other nodes have the update before its caller can retry there.
+/// The one-way latency between regions is up to 12 ms, and nodes of the own failure domain get the update through
+/// others.
+const UPDATE_WAIT: Duration = Duration::from_millis(50);
+/// Timeout for the acknowledgement of another node. It is longer than [`UPDATE_WAIT`], since the link is treated as
+/// failed after it.
+const ACK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A content that is held off from now on.
+/// An update about a content that is quarantined or tried again.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct QuarantineUpdate {
-    /// The content and the servers that ended under it.
+    /// The content and the servers that crashed during it.
     pub entry: CrashEntry,
-    /// The failure domain whose nodes are to be told by those that hear of it: a node has links to few of its own.
-    pub pass_to: Option<FailureDomain>,
+    /// The failure domain to whose nodes the receivers forward the update, since a node has links to few nodes of its
+    /// own failure domain.
+    pub forward_to: Option<FailureDomain>,
 }
 
-/// Says that the news is known.
+/// Acknowledges an update.
 #[derive(Debug, Clone, Copy, Encode, Decode)]
 pub struct QuarantineAck;
 
-/// Holds a content off that was found to end servers, and tells all nodes; returns when those in reach know, or after a
-/// while.
+/// Quarantines a content that was found to crash servers and sends the update to all nodes. Returns when the reachable
+/// ones have acknowledged it, or after a short wait.
 pub(crate) async fn quarantine_content(router: &Arc<Router>, suspect: CrashSuspect) {
     let now = router.clock.now();
     let Some(entry) = router.cluster.quarantine.quarantine_content(now, suspect.content) else { return };
-    tokio::spawn(quarantine::share(router.clone(), entry.clone()));
-    tell_all(router, entry).await;
+    tokio::spawn(quarantine::publish(router.clone(), entry.clone()));
+    broadcast(router, entry).await;
 }
 
-/// Tells all nodes in reach that a content is held off, or tried again; returns when they know, or after a while.
-pub(crate) async fn tell_all(router: &Router, entry: CrashEntry) {
-    let pass_to = Some(router.cluster.place().domain.clone());
-    tell_each(router, &QuarantineUpdate { entry, pass_to }, |_| true).await;
+/// Sends all reachable nodes the update that a content is quarantined or tried again. Returns when they have
+/// acknowledged it, or after a short wait.
+pub(crate) async fn broadcast(router: &Router, entry: CrashEntry) {
+    let forward_to = Some(router.cluster.place().domain.clone());
+    send_to_peers(router, &QuarantineUpdate { entry, forward_to }, |_| true).await;
 }
 
-/// Takes what another node has found out, and tells on whom it could not reach.
-pub(crate) async fn take(router: &Arc<Router>, news: QuarantineUpdate) -> QuarantineAck {
-    let QuarantineUpdate { entry, pass_to } = news;
-    let is_news = router.cluster.quarantine.put_quarantined(router.clock.now(), &entry);
-    if let (true, Some(domain)) = (is_news, pass_to) {
-        tell_each(router, &QuarantineUpdate { entry, pass_to: None }, |peer| peer.entry.domain == domain).await;
+/// Applies an update of another node, and forwards it to the nodes that the sender has no links to.
+pub(crate) async fn receive(router: &Arc<Router>, update: QuarantineUpdate) -> QuarantineAck {
+    let QuarantineUpdate { entry, forward_to } = update;
+    let is_new = router.cluster.quarantine.put_quarantined(router.clock.now(), &entry);
+    if let (true, Some(domain)) = (is_new, forward_to) {
+        send_to_peers(router, &QuarantineUpdate { entry, forward_to: None }, |peer| peer.entry.domain == domain).await;
     }
     QuarantineAck
 }
 
-/// Tells the peers that are meant, and waits a while for them to know. One that no link is open to yet, as after a start, is
-/// connected to for it.
-async fn tell_each(router: &Router, news: &QuarantineUpdate, is_meant: impl Fn(&PeerNode) -> bool) {
+/// Sends an update to the selected peers and waits a short time for their acknowledgements. Closed links, as after a
+/// start, are opened for it.
+async fn send_to_peers(router: &Router, update: &QuarantineUpdate, is_selected: impl Fn(&PeerNode) -> bool) {
     let view = router.cluster.view();
-    let meant = view.peers.iter().filter(|peer| is_meant(peer));
-    let told = meant.map(|peer| tokio::spawn(tell(peer.clone(), news.clone())));
-    let all_told = join_all(told);
-    if tokio::time::timeout(KNOWN_WITHIN, all_told).await.is_err() {
-        tracing::info!(event = "quarantine_told_late", content = %news.entry.content);
+    let selected = view.peers.iter().filter(|peer| is_selected(peer));
+    let sent = selected.map(|peer| tokio::spawn(send(peer.clone(), update.clone())));
+    let all_acked = join_all(sent);
+    if tokio::time::timeout(UPDATE_WAIT, all_acked).await.is_err() {
+        tracing::info!(event = "quarantine_told_late", content = %update.entry.content);
     }
 }
 
-async fn tell(peer: Arc<PeerNode>, news: QuarantineUpdate) {
-    let told = peer.link.call::<_, QuarantineAck>(PATH_QUARANTINE, &news, TELL_TIMEOUT).await;
-    if let Err(error) = told {
-        tracing::info!(event = "quarantine_not_told", peer = %peer.entry.node, content = %news.entry.content, %error);
+async fn send(peer: Arc<PeerNode>, update: QuarantineUpdate) {
+    let acked = peer.link.call::<_, QuarantineAck>(PATH_QUARANTINE, &update, ACK_TIMEOUT).await;
+    if let Err(error) = acked {
+        tracing::info!(event = "quarantine_not_told", peer = %peer.entry.node, content = %update.entry.content, %error);
     }
 }
--- a/crates/router/src/router_start.rs
+++ b/crates/router/src/router_start.rs
@@ -1,4 +1,4 @@
-//! How a router starts: its ports, its tasks, and its place among the other nodes.
+//! Starts a router: opens its ports, starts its tasks and registers the node with the others.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,11 +13,11 @@
 use crate::task::NodeTasks;
 use crate::{feed, front, knowledge, look_around, node_sweep, peer_service, peers, ready, relay, shortage, signs};
 
-/// How often doubtful servers and resting connections are looked at.
-const SWEEP_EVERY: Duration = Duration::from_millis(250);
+/// Interval at which doubtful servers and connections that are backing off are checked.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How often a node that starts looks whether it can serve.
-const READY_LOOK: Duration = Duration::from_millis(50);
+/// Interval at which a starting node checks whether it can serve.
+const READY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 async fn listen(port: &'static str, address: std::net::SocketAddr) -> Result<Arc<TcpListener>, RouterError> {
     let bound = TcpListener::bind(address).await;
@@ -55,14 +55,14 @@
     for topic in router.topics() {
         tasks.start("feed", move |router| feed::follow(router, topic));
     }
-    tasks.start("join", join);
+    tasks.start("join", join_cluster);
     tasks.start("catch_up", feed::catch_up);
     tasks.start("peers", move |router| peer_service::serve(router, peers_listener.clone()));
     tasks.start("links", peers::keep_connected);
     tasks.start("signs", signs::ask);
     tasks.start("knowledge", knowledge::ask_in_outages);
     tasks.start("sweep", sweep);
-    tokio::spawn(tell_ready(router.clone()));
+    tokio::spawn(log_ready(router.clone()));
     Ok(RunningRouter { router, tasks: tasks.into_running() })
 }
 
@@ -71,10 +71,10 @@
     (!names.is_empty()).then(|| names.join(","))
 }
 
-/// Learns the other nodes and registers this one, then takes the news of the store and looks after
-/// the entries near it. At the very first start all nodes register before they look around; later
-/// those that are listed replace their entries by one call.
-async fn join(router: Arc<Router>) {
+/// Discovers the other nodes and registers this one, then follows the updates of the store and removes stale entries of
+/// its failure domain. On the first start of all nodes they register before discovery, since no node is listed yet;
+/// later a node discovers the others first, so that it can replace its own listed entry with one call.
+async fn join_cluster(router: Arc<Router>) {
     let announced = async {
         feed::announce(&router).await;
         node_sweep::run(router.clone()).await;
@@ -91,12 +91,12 @@
     }
 }
 
-/// Tells when the node can serve for the first time, and what it knows then.
-async fn tell_ready(router: Arc<Router>) {
+/// Logs when the node can serve for the first time, with the state that it has then.
+async fn log_ready(router: Arc<Router>) {
     let mut changed = router.feed_changed.subscribe();
     while !router.is_ready() {
-        // What other nodes tell is no change of what is followed. Either way it is looked at.
-        let _ = tokio::time::timeout(READY_LOOK, changed.changed()).await;
+        // State received from other nodes does not trigger `feed_changed`, so readiness is also checked on timeout.
+        let _ = tokio::time::timeout(READY_CHECK_INTERVAL, changed.changed()).await;
     }
     let view = router.cluster.view();
     tracing::info!(
@@ -109,16 +109,17 @@
     );
 }
 
+/// Runs the periodic checks until the node stops.
 async fn sweep(router: Arc<Router>) {
     loop {
-        tokio::time::sleep(SWEEP_EVERY).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         note_suspension(&router);
         router.cluster.sweep(router.clock.now());
         shortage::look(&router);
     }
 }
 
-/// Tells what follows the news of the store that the machine was suspended: everything is asked for anew.
+/// Signals a suspension of the machine to the tasks that follow the store, which then read everything again.
 fn note_suspension(router: &Router) {
     let suspended = router.clock.suspended();
     let before = *router.woken.borrow();
--- a/crates/router/src/router_stop.rs
+++ b/crates/router/src/router_stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop of a router.
+//! Graceful stop of a router.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -7,22 +7,22 @@
 use crate::router::{Router, RouterPhase, RunningRouter};
 use crate::store_call::{self, CallReason};
 
-/// A stopping node still takes requests for so long: the balancer asks each second and takes a
-/// node out after two answers that say no.
+/// How long a stopping node still accepts requests: the balancer checks readiness every second and removes a node after
+/// two negative answers.
 const LAME_DUCK: Duration = Duration::from_millis(2_500);
-/// How long removing the node's entry may take: no longer than it serves on.
-const WITHDRAW_WITHIN: Duration = Duration::from_millis(2_000);
-/// Before the platform kills the process, requests in flight are given up.
+/// Timeout for removing the node's entry, which must not take longer than the node still serves.
+const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Time before the platform kills the process at which requests in flight are abandoned.
 const KILL_MARGIN: Duration = Duration::from_millis(400);
-/// How often a stopping node looks whether it is done.
-const STOP_LOOK: Duration = Duration::from_millis(20);
+/// Interval at which a stopping node checks whether all requests and connections have ended.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Router {
-    /// Removes this node's entry, unless a later run of it has written its own.
+    /// Removes this node's entry, unless a later run of the node has written its own.
     async fn withdraw(&self) {
         let entry = self.own_entry();
         let withdrawn = tokio::time::timeout(
-            WITHDRAW_WITHIN,
+            WITHDRAW_TIMEOUT,
             store_call::make(FeedTopic::Nodes, CallReason::Withdraw, self.feed.withdraw(&entry)),
         )
         .await;
@@ -33,10 +33,12 @@
         }
     }
 
+    /// Whether requests are in flight or callers are connected.
     fn is_busy(&self) -> bool {
         self.connections.load(Ordering::SeqCst) > 0 || self.requests.load(Ordering::SeqCst) > 0
     }
 
+    /// Enters a phase of the stop and logs it.
     fn set_phase(&self, phase: RouterPhase) {
         tracing::info!(
             event = "stop_phase",
@@ -49,23 +51,23 @@
 }
 
 impl RunningRouter {
-    /// Stops as planned: no longer ready at once, serving on until the balancer has noticed,
-    /// then closing connections as their requests end.
+    /// Stops gracefully: reports not ready at once, serves until the balancer has removed the node, then closes
+    /// connections as their requests end.
     pub async fn stop(mut self) {
         let router = self.router.clone();
-        let began = tokio::time::Instant::now();
+        let started = tokio::time::Instant::now();
         router.set_phase(RouterPhase::LameDuck);
         tokio::join!(tokio::time::sleep(LAME_DUCK), router.withdraw());
         router.set_phase(RouterPhase::Closing);
-        let end = began + router.live.load().grace.0.saturating_sub(KILL_MARGIN);
+        let end = started + router.live.load().grace.0.saturating_sub(KILL_MARGIN);
         while router.is_busy() && tokio::time::Instant::now() < end {
-            tokio::time::sleep(STOP_LOOK).await;
+            tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
         }
         tracing::info!(
             event = "stopped",
             node = %router.settings.node,
             given_up = router.requests.load(Ordering::SeqCst),
-            took_ms = began.elapsed().as_millis() as u64
+            took_ms = started.elapsed().as_millis() as u64
         );
         self.tasks.shutdown().await;
     }
--- a/crates/router/tests/credit_before_routes.rs
+++ b/crates/router/tests/credit_before_routes.rs
@@ -1,5 +1,5 @@
-//! A node that has just started gives no credit before it knows the limits: others still ask it, since its run before
-//! dealt out credit, and it granted whatever it was asked for.
+//! A restarted node grants no credit before it knows the limits. Other nodes still send it credit requests as they did
+//! before the restart, and a node that did not know the limit would grant everything requested.
 
 mod fakes;
 
@@ -13,10 +13,10 @@
 use streamfold_router::usage::{CreditAction, CreditReply, CreditRequest, PATH_CREDIT};
 use streamfold_store::StoreError;
 
-/// Longer than an answer takes.
-const WITHIN: Duration = Duration::from_secs(5);
+/// Timeout of a call, longer than any answer takes.
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A store with these routes, if any.
+/// A store with this version of the routes; unreachable if `None`.
 struct FixedNews(Option<u64>);
 
 impl FakeNews for FixedNews {
@@ -34,13 +34,14 @@
     }
 }
 
-/// What a node answers to whoever asks for credit of a team.
-async fn ask(link: &Arc<PeerLink>, ask: CreditAction) -> Result<CreditReply, PeerError> {
-    let request = CreditRequest { team: "blue".parse().expect("a name"), ask, caller: None };
-    link.call(PATH_CREDIT, &request, WITHIN).await
+/// Asks a node for credit of a team.
+async fn request_credit(link: &Arc<PeerLink>, action: CreditAction) -> Result<CreditReply, PeerError> {
+    let request = CreditRequest { team: "blue".parse().expect("a name"), action, caller: None };
+    link.call(PATH_CREDIT, &request, TIMEOUT).await
 }
 
-async fn assert_gives_none(version: Option<u64>) {
+/// Starts a node, with routes of this version if any, and checks that it refuses credit requests.
+async fn assert_grants_none(version: Option<u64>) {
     let settings = write_settings("asked", 1.0);
     let link = PeerLink::new(settings.peers);
     let feed = Arc::new(FakeFeed(FixedNews(version)));
@@ -48,18 +49,18 @@
     if let Some(version) = version {
         wait_version(&node.router, version).await;
     }
-    for kind in [CreditAction::Take, CreditAction::Lend(7)] {
-        let answer = ask(&link, kind).await;
-        assert!(matches!(answer, Err(PeerError::BadStatus(503))), "{kind:?}: {answer:?}");
+    for action in [CreditAction::Take, CreditAction::Lend(7)] {
+        let answer = request_credit(&link, action).await;
+        assert!(matches!(answer, Err(PeerError::BadStatus(503))), "{action:?}: {answer:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_without_routes_gives_no_credit() {
-    assert_gives_none(None).await;
+async fn a_node_without_routes_grants_no_credit() {
+    assert_grants_none(None).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_whose_routes_do_not_name_the_team_gives_it_no_credit() {
-    assert_gives_none(Some(1)).await;
+async fn a_node_whose_routes_lack_the_team_grants_it_no_credit() {
+    assert_grants_none(Some(1)).await;
 }
--- a/crates/router/tests/panicked.rs
+++ b/crates/router/tests/panicked.rs
@@ -1,11 +1,14 @@
-//! A task of a node panics. What happened: a request over all shards was handed out by the nodes that could be used,
-//! and these were asked for twice. A node that had been paused went on, its links were found broken between the two
-//! looks, and the second found nobody: `panicked at delegate.rs, index out of bounds: the len is 0`. The task
-//! was the caller's connection's, so the caller got no answer at all (`connection closed before message completed`), no
-//! server was called, and the node's line said that the caller had left. Played with 0.1 s between the two looks this
-//! came in 10 of 24 soaks, twice for a request sent during the same pause of the same node.
+//! A panic while a request is handled. The task is that of the caller's connection, so without a guard the caller gets
+//! no answer (`connection closed before message completed`), although no server was called, and the node logs that the
+//! caller has left.
 //!
-//! So whatever panics, the caller is answered, and truthfully: nobody knows whether the request has run.
+//! The panic that this test follows from: a request over all shards was delegated to the usable nodes, which were
+//! determined twice. The links of a node that resumed after a pause were found broken between the two checks, so the
+//! second found no node (`panicked at delegate.rs, index out of bounds: the len is 0`). With 0.1 s between the two
+//! checks this occurred in 10 of 24 soak runs.
+//!
+//! Whatever panics, the caller must get an answer that does not claim that the request has not run, since that is
+//! unknown.
 
 use std::time::Duration;
 
@@ -20,15 +23,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Longer than any test takes that passes.
-const WAIT_AT_MOST: Duration = Duration::from_secs(30);
+/// Timeout for an answer, longer than a passing test takes.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A format that panics over each request.
-struct FaultyFormat;
+/// A call format that panics when it reads a request.
+struct PanickingFormat;
 
-impl CallFormat for FaultyFormat {
+impl CallFormat for PanickingFormat {
     fn read_caller(&self, _: &HeaderMap) -> Result<CallerHead, HeadError> {
-        panic!("a fault of the format");
+        panic!("reading a request fails");
     }
 
     fn write_team(&self, _: &mut HeaderMap, _: Option<&TeamName>) {}
@@ -48,48 +51,48 @@
     }
 }
 
-/// A store that is away.
+/// A store that is unreachable.
 struct NoFeed;
 
-fn away<T: Send + 'static>() -> FeedFuture<'static, T> {
+fn unreachable_store<T: Send + 'static>() -> FeedFuture<'static, T> {
     Box::pin(std::future::ready(Err(StoreError::Unreachable)))
 }
 
 impl ClusterFeed for NoFeed {
     fn list(&self, _: FeedTopic, _: ListAge) -> FeedFuture<'_, FeedList> {
-        away()
+        unreachable_store()
     }
 
     fn list_few(&self, _: FeedTopic) -> FeedFuture<'_, Option<FeedList>> {
-        away()
+        unreachable_store()
     }
 
     fn watch(&self, _: FeedTopic, _: FeedPosition, _: Duration) -> FeedFuture<'_, FeedChanges> {
-        away()
+        unreachable_store()
     }
 
     fn announce<'a>(&'a self, _: &'a NodeEntry, _: bool) -> FeedFuture<'a, ()> {
-        away()
+        unreachable_store()
     }
 
     fn withdraw<'a>(&'a self, _: &'a NodeEntry) -> FeedFuture<'a, ()> {
-        away()
+        unreachable_store()
     }
 
     fn read_crash(&self, _: ContentId) -> FeedFuture<'_, Option<(CrashEntry, EntryRevision)>> {
-        away()
+        unreachable_store()
     }
 
     fn write_crash<'a>(&'a self, _: &'a CrashEntry, _: Option<EntryRevision>) -> FeedFuture<'a, ()> {
-        away()
+        unreachable_store()
     }
 
     fn remove_crash(&self, _: ContentId) -> FeedFuture<'_, ()> {
-        away()
+        unreachable_store()
     }
 }
 
-/// Settings of a node on a loopback address of its own, with ports that the system does not give out.
+/// Settings of a node on a random loopback address, with ports outside the ephemeral range.
 fn write_settings() -> RouterSettings {
     let (second, fourth): (u8, u8) = (rand::random(), rand::random_range(1..=254));
     let address = format!("127.{second}.7.{fourth}");
@@ -100,12 +103,13 @@
     serde_saphyr::from_str(&text).expect("settings")
 }
 
+/// Sends a request and reads its answer.
 async fn read_answer(caller: &mut TcpStream) -> String {
     caller.write_all(b"GET /x HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\n\r\n").await.expect("a sent request");
     let mut answer = Vec::new();
     while !answer.ends_with(b"}") {
         let mut chunk = [0; 1024];
-        let read = tokio::time::timeout(WAIT_AT_MOST, caller.read(&mut chunk)).await.expect("an answer in time");
+        let read = tokio::time::timeout(ANSWER_TIMEOUT, caller.read(&mut chunk)).await.expect("an answer in time");
         let length = read.expect("an answer");
         assert!(length > 0, "the connection was closed after {:?}", String::from_utf8_lossy(&answer));
         answer.extend_from_slice(&chunk[..length]);
@@ -114,11 +118,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_whose_handling_panics_is_answered_and_so_is_the_next_on_its_connection() {
+async fn a_panic_in_a_request_is_answered_and_the_connection_serves_the_next_request() {
     let settings = write_settings();
     let callers = settings.callers;
     let feed = std::sync::Arc::new(NoFeed);
-    let running = router_start::start(settings, std::sync::Arc::new(FaultyFormat), feed, String::new).await;
+    let running = router_start::start(settings, std::sync::Arc::new(PanickingFormat), feed, String::new).await;
     let running = running.expect("a node");
     let mut caller = TcpStream::connect(callers).await.expect("a connection");
     for _ in 0..2 {
