--- a/crates/router/src/usage.rs
+++ b/crates/router/src/usage.rs
@@ -278,7 +278,7 @@
             return lock(&router.usage.domain).give_back(&team);
         }
         let request = CreditRequest::without_caller(team, CreditAction::GiveBack);
-        // If the call fails, it is logged and the team loses this credit.
+        // If this fails, the team loses the credit; a failed call is logged.
         call(&router, entry, &request, DOMAIN_TIMEOUT).await;
     });
 }
