--- a/crates/router/src/attempt_context.rs
+++ b/crates/router/src/attempt_context.rs
@@ -301,7 +301,8 @@
     fn call(&self, position: usize, server: Arc<Server>, mark: SentMark) -> PendingCall {
         let typical = self.times.typical(server.distance, self.route.target_latency);
         let queue = self.view.services.get(&server.service).and_then(Service::line).cloned();
-        let running = call::run(self.router.clone(), server, self.request.clone(), self.is_at_most_once(), mark, typical);
+        let running =
+            call::run(self.router.clone(), server, self.request.clone(), self.is_at_most_once(), mark, typical);
         let clock = self.router.clock;
         let started = self.now();
         let guard = queue.map(|queue| CallRoom { line: queue, clock });
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -116,7 +116,8 @@
 
 /// The expected time until enough shards have answered; `None` where too few have a usable server.
 fn expected_latency(context: &AttemptContext, fold: &ShardFold, now: Moment, left: Duration) -> Option<Duration> {
-    let outlooks: Vec<ShardOutlook> = fold.shards.iter().map(|shard| shard_outlook(context, shard, now, left)).collect();
+    let outlooks: Vec<ShardOutlook> =
+        fold.shards.iter().map(|shard| shard_outlook(context, shard, now, left)).collect();
     expect_answers(&outlooks, fold_rule(context, fold).least_answers())
 }
 
--- a/crates/router/tests/fold.rs
+++ b/crates/router/tests/fold.rs
@@ -1,7 +1,7 @@
 //! Folds the records of shards and trims those that cannot be among the wanted ones.
 
 use bytes::Bytes;
-use streamfold_router::fold::{Record, trim_records, find_last_wanted, fold_records};
+use streamfold_router::fold::{Record, find_last_wanted, fold_records, trim_records};
 
 fn body(records: &[Record]) -> Bytes {
     records.iter().flat_map(|record| record.to_be_bytes()).collect::<Vec<u8>>().into()
