--- a/crates/daemon/src/pool.rs
+++ b/crates/daemon/src/pool.rs
@@ -7,10 +7,10 @@
 use bytes::Bytes;
 use http::uri::PathAndQuery;
 use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode};
-use streamfold_model::server::write_shards;
+use streamfold_model::server::format_shards;
 use streamfold_model::{AttemptId, AttemptOutcome, IndexName, MissingReason, ShardId, UpstreamSpec};
 use streamfold_policy::{
-    AttemptRules, CallReport, HeldVersions, Moment, QueueSubmission, ServerState, UpstreamQueue, WaitPlace, WorkItem,
+    AttemptRules, CallReport, HeldVersions, Moment, QueueSubmission, ServerState, UpstreamQueue, WaitId, WorkItem,
 };
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
@@ -129,13 +129,13 @@
         let now = self.clock.now();
         let mut queue = self.lock();
         let state = queue.server_mut(server);
-        state.learn_incarnation(now, report.incarnation);
-        state.learn_load(now, report.load);
+        state.record_incarnation(now, report.incarnation);
+        state.record_load(now, report.load);
         if report.draining {
             state.mark_leaving();
         }
         for (index, range) in report.indexes {
-            state.learn_versions(&index, range.into());
+            state.record_versions(&index, range.into());
         }
     }
 
@@ -196,7 +196,7 @@
         let attempt = AttemptId(rand::random());
         let now = self.clock.now();
         let left = context.deadline.since(now);
-        let request = self.build_request(server, attempt, context, &write_shards(shards), left);
+        let request = self.build_request(server, attempt, context, &format_shards(shards), left);
         let fail = |reason, outcome| CallFailure { server, failure: PieceFailure { reason, outcome } };
         let response = match self.links[server].call(request, context.answer_limit).await {
             Ok(response) => response,
@@ -276,16 +276,16 @@
         let mut queue = self.lock();
         let state = queue.server_mut(server);
         if let Some(incarnation) = read_header(fields, headers::INCARNATION) {
-            state.learn_incarnation(now, incarnation);
+            state.record_incarnation(now, incarnation);
         }
         if let Some(load) = read_header(fields, headers::LOAD) {
-            state.learn_load(now, load);
+            state.record_load(now, load);
         }
         if fields.get(headers::DRAINING).is_some_and(|draining| draining.as_bytes() == b"true") {
             state.mark_leaving();
         }
         if let Some(held) = read_held(fields) {
-            state.learn_versions(index, held);
+            state.record_versions(index, held);
         }
     }
 }
@@ -293,7 +293,7 @@
 /// Takes waiting work out of the queue when nobody waits for it any more.
 struct WaitGuard<'a> {
     pool: &'a Arc<UpstreamPool>,
-    number: WaitPlace,
+    number: WaitId,
 }
 
 impl Drop for WaitGuard<'_> {
--- a/crates/router/src/attempt_context.rs
+++ b/crates/router/src/attempt_context.rs
@@ -7,9 +7,11 @@
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
 use futures_util::stream::FuturesUnordered;
-use streamfold_model::{FailureDomain, HomeRegions, Priority, RouteKind, RouteSpec, ServerId, ServiceName, TeamSpec};
-use streamfold_policy::canary::{CallRight, RequestFate};
-use streamfold_policy::crash_book::ContentStanding;
+use streamfold_model::{
+    AllowedRegions, FailureDomain, Priority, RouteKind, RouteSpec, ServerId, ServiceName, TeamSpec,
+};
+use streamfold_policy::canary::{CallPermission, RequestVerdict};
+use streamfold_policy::crash_tracker::ContentStatus;
 use streamfold_policy::replica::Distance;
 use streamfold_policy::{Mechanism, Moment};
 
@@ -61,7 +63,7 @@
     /// The request.
     pub request: Arc<CallerRequest>,
     /// The regions in which its route and its team allow it to be served.
-    pub homes: HomeRegions,
+    pub homes: AllowedRegions,
     /// The team of its caller, where teams are configured.
     pub team: Option<Arc<TeamSpec>>,
     /// Its priority among requests for the same servers.
@@ -172,9 +174,11 @@
         // Content that crashed the servers that ran it crashes the next one too, whatever the request id.
         let right = self.call_right();
         match right {
-            CallRight::Free | CallRight::First => {}
-            CallRight::Never if !self.canary.is_undecided(self.standing()) => return Err(AttemptStop::Quarantined),
-            CallRight::Wait | CallRight::Never => {
+            CallPermission::Allowed | CallPermission::AsCanary => {}
+            CallPermission::Denied if !self.canary.is_undecided(self.standing()) => {
+                return Err(AttemptStop::Quarantined);
+            }
+            CallPermission::Wait | CallPermission::Denied => {
                 attempts.canary_check_at = Some(self.now().plus(CANARY_CHECK_INTERVAL));
                 return Err(AttemptStop::Canary);
             }
@@ -194,7 +198,7 @@
             return Err(AttemptStop::Budget);
         }
         match right {
-            CallRight::First => self.canary.note_sent(self.now(), &server),
+            CallPermission::AsCanary => self.canary.note_sent(self.now(), &server),
             _ => self.canary.note_free(),
         }
         attempts.sent += 1;
@@ -241,20 +245,20 @@
     }
 
     /// The current quarantine state of the request content.
-    fn standing(&self) -> ContentStanding {
+    fn standing(&self) -> ContentStatus {
         self.router.cluster.quarantine.standing(self.now(), self.request.suspect.content)
     }
 
     /// Whether a call may be sent, given what is known about the request content.
-    fn call_right(&self) -> CallRight {
+    fn call_right(&self) -> CallPermission {
         self.canary.right(self.now(), self.standing(), self.route.target_latency.max(MIN_CANARY_TIMEOUT))
     }
 
     /// Whether the request's calls in flight go on, given what is known about the request content.
-    pub(crate) fn fate(&self) -> RequestFate {
+    pub(crate) fn fate(&self) -> RequestVerdict {
         let standing = self.standing();
-        if standing == ContentStanding::Clear {
-            return RequestFate::GoesOn;
+        if standing == ContentStatus::Clear {
+            return RequestVerdict::Continue;
         }
         let usual = self.times.typical(Distance::Far, self.route.target_latency);
         self.canary.fate(standing, self.now().since(self.request.started), usual)
@@ -262,7 +266,7 @@
 
     /// Whether the request may have any number of calls in flight, that is, whether no canary has to go first.
     pub(crate) fn is_unrestricted(&self) -> bool {
-        self.call_right() == CallRight::Free
+        self.call_right() == CallPermission::Allowed
     }
 
     /// Records how a call ended, to learn whether the request content crashes servers.
--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -7,9 +7,9 @@
 
 use streamfold_model::{ServerId, ServerRun, ServiceName};
 use streamfold_policy::Moment;
-use streamfold_policy::domain_reach::LEAST_SILENCE;
+use streamfold_policy::domain_reach::MIN_SILENCE;
 use streamfold_policy::replica::Distance;
-use streamfold_policy::server_bound::ServerRights;
+use streamfold_policy::server_bound::SendPermission;
 
 use crate::call::{CallFailure, SentMark};
 use crate::call_line::CallPlace;
@@ -57,7 +57,7 @@
 
 impl SilenceWatch {
     fn ends_at(&self) -> Moment {
-        self.started.plus(LEAST_SILENCE)
+        self.started.plus(MIN_SILENCE)
     }
 }
 
@@ -102,7 +102,7 @@
     /// How the last failed call failed, for the log.
     pub(crate) failure: &'static str,
     /// The servers that this node may call.
-    pub(crate) rights: ServerRights<ServerId>,
+    pub(crate) rights: SendPermission<ServerId>,
     /// The server that this node may still call itself after it has delegated the shard.
     pub(crate) fallback: Option<ServerId>,
 }
@@ -130,7 +130,7 @@
             is_remote_hedge: false,
             may_have_run: false,
             failure: "none",
-            rights: ServerRights::Any,
+            rights: SendPermission::Any,
             fallback: None,
         }
     }
@@ -180,7 +180,7 @@
 
     /// Records the attempts that another node reported. That node sends the request no more.
     pub fn note_remote_attempts(&mut self, sent: u32, has_reached_server: bool) {
-        self.rights = ServerRights::Any;
+        self.rights = SendPermission::Any;
         self.sent_remotely = sent;
         self.has_reached_server |= has_reached_server;
         self.may_have_run |= sent > 0;
@@ -189,7 +189,7 @@
     /// Records that the node to which the request was delegated has stopped responding. It may have sent the request
     /// or may still send it, so this node may call only the fallback server.
     pub fn note_silent_node(&mut self) {
-        self.rights = self.fallback.clone().map_or(ServerRights::NoServer, ServerRights::Kept);
+        self.rights = self.fallback.clone().map_or(SendPermission::NoServer, SendPermission::Reserved);
         self.has_reached_server = true;
         self.may_have_run = true;
     }
@@ -197,7 +197,7 @@
     /// Whether no attempt was made for the shard yet, so that it may be delegated to another node. After that, this
     /// node may call only the fallback server.
     pub fn is_unstarted(&self) -> bool {
-        self.tried.is_empty() && !self.is_queued && self.rights == ServerRights::Any && self.sent_remotely == 0
+        self.tried.is_empty() && !self.is_queued && self.rights == SendPermission::Any && self.sent_remotely == 0
     }
 
     /// Whether the request may be sent to a server, given that it may run on at most `most` servers.
--- a/crates/router/src/batch.rs
+++ b/crates/router/src/batch.rs
@@ -3,7 +3,7 @@
 use bincode::{Decode, Encode};
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 use http::{Method, Uri};
-use streamfold_model::{HomeRegions, Priority, RouteName, ServerId, ServerRun, ServiceName, TableVersion, TeamName};
+use streamfold_model::{AllowedRegions, Priority, RouteName, ServerId, ServerRun, ServiceName, TableVersion, TeamName};
 
 /// The path for batches of shards. It contains the version of the message format, so that nodes with an older format
 /// refuse these batches and this node refuses theirs: a batch without its home regions must not be served.
@@ -93,7 +93,7 @@
     /// The most servers that the request may be sent to for each shard.
     pub max_attempts: u32,
     /// The regions in which its servers may be.
-    pub homes: HomeRegions,
+    pub homes: AllowedRegions,
     /// The route's target latency, in microseconds.
     pub target_us: u64,
     /// The time left until the deadline of the request, in microseconds.
--- a/crates/router/src/caller_team.rs
+++ b/crates/router/src/caller_team.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use streamfold_model::{RouteSpec, TeamDirectory, TeamSpec};
-use streamfold_policy::come_back::TurnReason;
+use streamfold_policy::retry_after::RefusalReason;
 
 use crate::answer::RefusalKind;
 use crate::border::{FeedTopic, ShownKey};
@@ -20,7 +20,7 @@
     route: &RouteSpec,
     shown: ShownKey,
 ) -> Result<Option<Arc<TeamSpec>>, RefusalKind> {
-    let unknown = || RefusalKind::not_run(TurnReason::RoutesUnknown { uptime: router.uptime() });
+    let unknown = || RefusalKind::not_run(RefusalReason::RoutesUnknown { uptime: router.uptime() });
     let unfollowed = router.unfollowed_for(FeedTopic::Routes);
     let strict = router.settings.keys.filter(|keys| keys.strict == Some(true));
     let are_keys_stale = strict.is_some_and(|keys| unfollowed > keys.within.0);
@@ -30,7 +30,7 @@
     };
     match team.filter(|_| !are_keys_stale) {
         Some(team) => Ok(Some(team.clone())),
-        None if route.is_open => Ok(None),
+        None if route.is_auth_exempt => Ok(None),
         // The key may have been revoked meanwhile.
         None if team.is_some() => Err(unknown()),
         // The key may have been issued meanwhile.
--- a/crates/router/src/cluster_view.rs
+++ b/crates/router/src/cluster_view.rs
@@ -3,16 +3,16 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use streamfold_model::{FailureDomain, HomeRegions, NodeEntry, NodeId, RouteName, RouteTable, ServiceName};
+use streamfold_model::{AllowedRegions, FailureDomain, NodeEntry, NodeId, RouteName, RouteTable, ServiceName};
 use streamfold_policy::Moment;
 use streamfold_policy::budget_share::{BudgetNode, BudgetNodes, divide_allowance};
-use streamfold_policy::cold_limit::{ColdBound, deal_calls};
+use streamfold_policy::cold_limit::{ColdBound, cold_call_quota};
 use streamfold_policy::extra_budget::ExtraBudget;
-use streamfold_policy::owner::{CallerKind, CallingNodes, divide_connections};
+use streamfold_policy::owner::{NodeCounts, NodeRole, divide_connections};
 use streamfold_policy::replica::Distance;
-use streamfold_policy::server_scope::ServerBar;
-use streamfold_policy::shard_health::ServiceStanding;
-use streamfold_policy::split_rule::SplitTurns;
+use streamfold_policy::server_exclusion::ServerExclusion;
+use streamfold_policy::shard_health::ServiceHealth;
+use streamfold_policy::split_rule::SplitSelector;
 
 use crate::call_line::CallLine;
 use crate::call_waits::CallWaits;
@@ -61,7 +61,7 @@
     }
 
     /// The servers that a request with these homes may be sent to.
-    pub fn usable<'a>(&'a self, now: Moment, homes: &'a HomeRegions) -> impl Iterator<Item = &'a Arc<Server>> {
+    pub fn usable<'a>(&'a self, now: Moment, homes: &'a AllowedRegions) -> impl Iterator<Item = &'a Arc<Server>> {
         self.servers.iter().filter(move |server| server.find_bar(now, homes).is_none())
     }
 
@@ -76,9 +76,9 @@
     }
 
     /// How many of its servers are good ones now.
-    pub(crate) fn standing(&self, now: Moment) -> ServiceStanding {
+    pub(crate) fn standing(&self, now: Moment) -> ServiceHealth {
         let is_good = |server: &&Arc<Server>| !server.is_doubtful() && !server.is_dark(now) && !server.is_slow(now);
-        ServiceStanding { servers: self.servers.len(), good: self.servers.iter().filter(is_good).count() }
+        ServiceHealth { servers: self.servers.len(), good: self.servers.iter().filter(is_good).count() }
     }
 
     /// Where its calls wait, if they do.
@@ -93,7 +93,7 @@
     }
 
     /// How many of its servers each bar keeps requests with these homes from, for the log.
-    pub fn count_bars(&self, now: Moment, homes: &HomeRegions) -> BTreeMap<ServerBar, usize> {
+    pub fn count_bars(&self, now: Moment, homes: &AllowedRegions) -> BTreeMap<ServerExclusion, usize> {
         let mut counts = BTreeMap::new();
         for bar in self.servers.iter().filter_map(|server| server.find_bar(now, homes)) {
             *counts.entry(bar).or_default() += 1;
@@ -132,7 +132,7 @@
     /// Latencies by route.
     pub times: HashMap<RouteName, RouteTimes>,
     /// Turns of the services of a route, by route.
-    pub(crate) turns: HashMap<RouteName, Arc<SplitTurns>>,
+    pub(crate) turns: HashMap<RouteName, Arc<SplitSelector>>,
     /// Nodes by failure domain, this one included; also those that were there until lately.
     pub nodes: HashMap<FailureDomain, NodeCount>,
     /// Whether this node is an owner in its failure domain.
@@ -147,7 +147,7 @@
 
 impl ClusterView {
     /// The turns of a route's services, if there are several.
-    pub fn turns(&self, route: &RouteName) -> Option<&SplitTurns> {
+    pub fn turns(&self, route: &RouteName) -> Option<&SplitSelector> {
         self.turns.get(route).map(|turns| &**turns)
     }
 
@@ -190,7 +190,7 @@
     /// while the server is cold.
     pub(crate) fn share_out(&self, node: &NodeId, cold_calls: Option<ColdCallSettings>) {
         for service in self.services.values() {
-            service.servers.iter().for_each(|server| server.state().set_compared(service.is_compared));
+            service.servers.iter().for_each(|server| server.state().set_comparable(service.is_compared));
         }
         for server in self.services.values().flat_map(|service| &service.servers) {
             server.set_share(self.connection_share(server));
@@ -200,13 +200,13 @@
 
     /// Calls a second that this node may make to a server while it is cold, if they are bounded.
     fn cold_share(&self, server: &Server, node: &NodeId, cold: ColdCallSettings) -> Option<u32> {
-        let rate = self.table.as_ref()?.service(&server.service)?.cold_rate?;
+        let rate = self.table.as_ref()?.service(&server.service)?.warmup_rate?;
         if server.distance != Distance::Domain {
             return Some(0);
         }
         let bound = ColdBound { rate, excess: cold.excess, allowance: cold.allowance };
         let owners: Vec<&str> = self.near_owners.iter().map(NodeId::as_str).collect();
-        Some(deal_calls(bound, &owners, node.as_str(), server.id.as_str()))
+        Some(cold_call_quota(bound, &owners, node.as_str(), server.id.as_str()))
     }
 
     fn connection_share(&self, server: &Server) -> u32 {
@@ -214,12 +214,12 @@
         let Some(spec) = spec else { return 1 };
         let near = self.nodes.get(&server.domain).copied().unwrap_or_default();
         let owners = self.nodes.values().map(|count| count.owners).sum::<usize>();
-        let nodes = CallingNodes { near: near.all, far: self.node_count() - near.all };
-        let owners = CallingNodes { near: near.owners, far: owners - near.owners };
+        let nodes = NodeCounts { near: near.all, far: self.node_count() - near.all };
+        let owners = NodeCounts { near: near.owners, far: owners - near.owners };
         divide_connections(spec.max_connections, nodes, owners, self.caller_kind(server))
     }
 
-    fn caller_kind(&self, server: &Server) -> CallerKind {
-        CallerKind { is_near: server.distance == Distance::Domain, is_owner: self.is_owner }
+    fn caller_kind(&self, server: &Server) -> NodeRole {
+        NodeRole { is_near: server.distance == Distance::Domain, is_owner: self.is_owner }
     }
 }
--- a/crates/router/src/contention.rs
+++ b/crates/router/src/contention.rs
@@ -19,7 +19,7 @@
     /// The order of a new line.
     pub fn order(self) -> Box<dyn CallOrder> {
         let order = PriorityOrder::default();
-        Box::new(if self.by_team { order.with_turns() } else { order })
+        Box::new(if self.by_team { order.with_fair_queueing() } else { order })
     }
 }
 
@@ -30,13 +30,14 @@
     mixed: &HashSet<ServiceName>,
     place: &ClusterPlace,
 ) -> HashMap<ServiceName, LineRule> {
-    if !place.mechanisms.has(Mechanism::CallLines) {
+    if !place.mechanisms.has(Mechanism::CallQueues) {
         return HashMap::new();
     }
     let by_team = place.scheduling.by_team
         && place.mechanisms.has(Mechanism::TeamTurns)
         && table.teams().is_some_and(TeamDirectory::has_limits);
-    let keyed = table.routes().iter().filter(|route| by_team && !route.is_open).flat_map(|route| route.services());
+    let keyed =
+        table.routes().iter().filter(|route| by_team && !route.is_auth_exempt).flat_map(|route| route.services());
     let by_priority = mixed.iter().filter(|_| place.scheduling.by_priority);
     keyed.chain(by_priority).map(|service| (service.clone(), LineRule { by_team })).collect()
 }
--- a/crates/router/src/delegate.rs
+++ b/crates/router/src/delegate.rs
@@ -108,7 +108,7 @@
 /// The size of a group of nodes for the placement rules; `None` if there are no nodes or one does not report its CPU
 /// share.
 fn owner_group(peers: &[Arc<PeerNode>]) -> Option<OwnerGroup> {
-    let powers: Option<Vec<CoreShare>> = peers.iter().map(|peer| peer.entry.power).collect();
+    let powers: Option<Vec<CoreShare>> = peers.iter().map(|peer| peer.entry.cpu_share).collect();
     powers?.into_iter().min().map(|power| OwnerGroup { count: peers.len(), power })
 }
 
@@ -156,7 +156,8 @@
         let (Some(group), Some(power)) = (owner_group(near_peers), self.router.settings.power()) else {
             return false;
         };
-        self.router.has(Mechanism::NearFolding) && group.is_worth_asking(shards, self.route.target_latency, power)
+        self.router.has(Mechanism::NearDelegation)
+            && group.is_delegation_faster(shards, self.route.target_latency, power)
     }
 
     /// Splits the shards of a failure domain into batches for some of its nodes. As far as possible, every requesting
@@ -180,7 +181,7 @@
     /// The nodes of a failure domain that work may be delegated to: its owners, or other nodes while no owner can be
     /// reached. If the request is restricted to home regions, only nodes there, since the request body is sent along.
     fn usable_peers(&self, domain: &FailureDomain) -> Vec<Arc<PeerNode>> {
-        if !self.homes.allow(self.router.cluster.place().region(domain)) {
+        if !self.homes.allows(self.router.cluster.place().region(domain)) {
             return Vec::new();
         }
         let now = self.now();
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -5,11 +5,11 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use streamfold_model::{FailureDomain, NodeId, Priority, RouteTarget, ServiceName, ShardFold};
-use streamfold_policy::come_back::TurnReason;
-use streamfold_policy::entry_gate::{EntryAsk, EntryGate, EntryRule, EntryStep};
-use streamfold_policy::server_outlook::{ShardOutlook, expect_answers};
-use streamfold_policy::wait_book::{AgreedWait, WaitBook};
+use streamfold_model::{FailureDomain, GatherSpec, NodeId, Priority, RouteTarget, ServiceName};
+use streamfold_policy::entry_gate::{EntryDecision, EntryGate, EntryRequest, EntryRule};
+use streamfold_policy::finish_estimate::{ShardEstimate, estimate_answers};
+use streamfold_policy::retry_after::RefusalReason;
+use streamfold_policy::wait_tracker::{MedianWait, WaitTracker};
 use streamfold_policy::{Mechanism, Moment};
 
 use crate::answer::RefusalKind;
@@ -25,7 +25,7 @@
 #[derive(Default)]
 pub struct EntryControl {
     gate: Mutex<EntryGate>,
-    waits: Mutex<WaitBook>,
+    waits: Mutex<WaitTracker>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -40,12 +40,12 @@
         lock(&self.waits).note(now, domain, node, waits);
     }
 
-    fn wait(&self, now: Moment, priority: Priority) -> AgreedWait {
+    fn wait(&self, now: Moment, priority: Priority) -> MedianWait {
         lock(&self.waits).wait(now, priority)
     }
 
     /// Decides on a request, and logs the admission level when it changes.
-    fn decide(&self, now: Moment, ask: &EntryAsk) -> EntryStep {
+    fn decide(&self, now: Moment, ask: &EntryRequest) -> EntryDecision {
         let mut gate = lock(&self.gate);
         let before = gate.level().closed();
         let step = gate.decide(now, ask);
@@ -76,7 +76,7 @@
 /// # Errors
 /// The request is rejected and has reached no server.
 pub(crate) fn check(context: &AttemptContext) -> Result<(), RefusalKind> {
-    let RouteTarget::All(fold) = &context.route.target else { return Ok(()) };
+    let RouteTarget::Gather(fold) = &context.route.target else { return Ok(()) };
     if !is_gated(context, fold) {
         return Ok(());
     }
@@ -85,7 +85,7 @@
     note_own_waits(context, now);
     let reported = control.wait(now, context.priority);
     let left = context.request.deadline.since(now);
-    let ask = EntryAsk {
+    let ask = EntryRequest {
         priority: context.priority,
         target: context.route.target_latency,
         left,
@@ -93,12 +93,12 @@
         waited: reported.wait,
     };
     let (reason, wait) = match control.decide(now, &ask) {
-        EntryStep::Begin => return Ok(()),
-        EntryStep::Hopeless { wait } => ("hopeless", wait),
-        EntryStep::GiveWay { wait } => ("give_way", wait),
+        EntryDecision::Admit => return Ok(()),
+        EntryDecision::CannotFinish { wait } => ("hopeless", wait),
+        EntryDecision::Yield { wait } => ("give_way", wait),
     };
     log_rejection(context, &ask, reported, reason);
-    Err(RefusalKind::not_run(TurnReason::Overload { wait }))
+    Err(RefusalKind::not_run(RefusalReason::Overload { wait }))
 }
 
 /// Records how long calls wait at this node; other nodes report it in their replies.
@@ -109,30 +109,30 @@
 }
 
 /// Whether the gate applies to a route: only where its shards also serve requests of another priority.
-fn is_gated(context: &AttemptContext, fold: &ShardFold) -> bool {
+fn is_gated(context: &AttemptContext, fold: &GatherSpec) -> bool {
     let is_mixed = fold.shards.iter().any(|shard| context.view.mixed.contains(shard));
     is_mixed && context.router.settings.scheduling.by_priority && context.router.has(Mechanism::EntryGate)
 }
 
 /// The expected time until enough shards have answered; `None` where too few have a usable server.
-fn expected_latency(context: &AttemptContext, fold: &ShardFold, now: Moment, left: Duration) -> Option<Duration> {
-    let outlooks: Vec<ShardOutlook> =
+fn expected_latency(context: &AttemptContext, fold: &GatherSpec, now: Moment, left: Duration) -> Option<Duration> {
+    let outlooks: Vec<ShardEstimate> =
         fold.shards.iter().map(|shard| shard_outlook(context, shard, now, left)).collect();
-    expect_answers(&outlooks, fold_rule(context, fold).least_answers())
+    estimate_answers(&outlooks, fold_rule(context, fold).min_answers())
 }
 
 /// The expected response time of a shard. Stops at the first server expected to answer within `left`.
-fn shard_outlook(context: &AttemptContext, shard: &ServiceName, now: Moment, left: Duration) -> ShardOutlook {
+fn shard_outlook(context: &AttemptContext, shard: &ServiceName, now: Moment, left: Duration) -> ShardEstimate {
     let service = context.view.services.get(shard);
     let usable = service.into_iter().flat_map(|service| service.usable(now, &context.homes));
     let outlooks = usable.map(|server| {
         let typical = context.times.typical(server.distance, context.route.target_latency);
         server.outlook(now, typical)
     });
-    ShardOutlook::of(outlooks, left)
+    ShardEstimate::of(outlooks, left)
 }
 
-fn log_rejection(context: &AttemptContext, ask: &EntryAsk, reported: AgreedWait, reason: &'static str) {
+fn log_rejection(context: &AttemptContext, ask: &EntryRequest, reported: MedianWait, reason: &'static str) {
     let labels = [("reason", reason.to_owned()), ("priority", priority_label(ask.priority))];
     metrics::counter!("streamfold_requests_turned_away_total", &labels).increment(1);
     tracing::info!(
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -12,12 +12,12 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
-use streamfold_link::socket::watch_peer;
+use streamfold_link::socket::set_tcp_options;
 use streamfold_model::{RouteSpec, RouteTable, RouteTarget, TeamSpec};
-use streamfold_policy::caller_way::find_begin;
-use streamfold_policy::come_back::TurnReason;
-use streamfold_policy::crash_book::ContentStanding;
-use streamfold_policy::split_rule::SplitTurns;
+use streamfold_policy::crash_tracker::ContentStatus;
+use streamfold_policy::request_start::find_request_start;
+use streamfold_policy::retry_after::RefusalReason;
+use streamfold_policy::split_rule::SplitSelector;
 use streamfold_policy::{Mechanism, Moment};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -69,7 +69,7 @@
 async fn serve_connection(router: Arc<Router>, stream: TcpStream) {
     let _count = LiveCount::of_counted(&router.connections);
     let accepted = router.clock.now();
-    if let Err(error) = watch_peer(&stream) {
+    if let Err(error) = set_tcp_options(&stream) {
         tracing::debug!(event = "connection_options_failed", %error);
         return;
     }
@@ -148,7 +148,7 @@
 fn find_arrival(router: &Router, accepted: Option<Moment>) -> RequestArrival {
     let read = router.clock.now();
     let path_latency = router.settings.caller_way.filter(|_| router.has(Mechanism::HandshakeTime));
-    RequestArrival { started: path_latency.map_or(read, |latency| find_begin(read, accepted, latency.0)), read }
+    RequestArrival { started: path_latency.map_or(read, |latency| find_request_start(read, accepted, latency.0)), read }
 }
 
 async fn prepare(
@@ -175,18 +175,21 @@
     let team = authenticate(router, &routed, &head, &mut parts.headers)?;
     let body = read_body(body, routed.body_limit).await?;
     let times = routed.view.times.get(&routed.route.name).cloned().unwrap_or_default();
-    let is_lone = matches!(routed.route.target, RouteTarget::One(_));
+    let is_lone = matches!(routed.route.target, RouteTarget::Split(_));
     let request = CallerRequest::new(head, parts, body, arrival, routed.route.timeout, is_lone);
     // A request to a single server is refused early, so that its caller still has time to retry.
     let retry_within = match routed.route.target {
-        RouteTarget::All(_) => routed.route.target_latency,
-        RouteTarget::One(_) => routed.route.target_latency.mul_f64(EARLY_REFUSAL_SHARE),
+        RouteTarget::Gather(_) => routed.route.target_latency,
+        RouteTarget::Split(_) => routed.route.target_latency.mul_f64(EARLY_REFUSAL_SHARE),
     };
     let canary = if is_lone { CanaryCall::default() } else { CanaryCall::over_shards() };
     Ok(AttemptContext {
         retry_until: arrival.started.plus(retry_within),
         router: router.clone(),
-        homes: team.as_ref().map_or_else(|| routed.route.homes.clone(), |team| routed.route.homes.within(&team.homes)),
+        homes: team.as_ref().map_or_else(
+            || routed.route.allowed_regions.clone(),
+            |team| routed.route.allowed_regions.intersect(&team.allowed_regions),
+        ),
         priority: team.as_ref().and_then(|team| team.priority).unwrap_or(routed.route.priority),
         team,
         view: routed.view,
@@ -233,7 +236,7 @@
 
 fn find_route(router: &Router, headers: &HeaderMap, uri: &Uri) -> Result<RoutedRequest, RefusalKind> {
     let view = router.cluster.view();
-    let unknown = || RefusalKind::not_run(TurnReason::RoutesUnknown { uptime: router.uptime() });
+    let unknown = || RefusalKind::not_run(RefusalReason::RoutesUnknown { uptime: router.uptime() });
     let table: Arc<RouteTable> = view.table.clone().ok_or_else(unknown)?;
     let host = read_host(headers, uri).ok_or(RefusalKind::BadRequest)?;
     match table.find(&host, uri.path()) {
@@ -253,13 +256,13 @@
     let router = &context.router;
     let content = context.request.suspect.content;
     let left = match router.cluster.quarantine.standing(context.now(), content) {
-        ContentStanding::Clear | ContentStanding::Suspect => return take_credit(context).await,
-        ContentStanding::TrialDue if quarantine::claim_trial(router, content).await => {
+        ContentStatus::Clear | ContentStatus::Suspect => return take_credit(context).await,
+        ContentStatus::TrialDue if quarantine::claim_trial(router, content).await => {
             context.canary = CanaryCall::trial();
             return take_credit(context).await;
         }
-        ContentStanding::TrialDue => Duration::ZERO,
-        ContentStanding::Held { until } => until.since(context.now()),
+        ContentStatus::TrialDue => Duration::ZERO,
+        ContentStatus::Quarantined { until } => until.since(context.now()),
     };
     metrics::counter!("streamfold_quarantined_requests_total").increment(1);
     Err(RefusalKind::quarantined(left))
@@ -296,7 +299,7 @@
 
 async fn serve_admitted(context: &AttemptContext, record: &mut RequestRecord<'_>) -> Result<CallerAnswer, RefusalKind> {
     match &context.route.target {
-        RouteTarget::All(fold) => {
+        RouteTarget::Gather(fold) => {
             let end = gather::run(context, fold).await;
             record.coverage = Some(RequestCoverage {
                 answered: end.answered,
@@ -307,7 +310,7 @@
             });
             end.result
         }
-        RouteTarget::One(parts) => match single::choose_service(parts, find_split_turns(context)) {
+        RouteTarget::Split(parts) => match single::choose_service(parts, find_split_turns(context)) {
             Some(service) => single::run(context, service).await,
             None => Err(RefusalKind::NoRoute),
         },
@@ -315,7 +318,7 @@
 }
 
 /// The sequence of turns of a request's route, if its traffic is split between services by turns.
-fn find_split_turns(context: &AttemptContext) -> Option<&SplitTurns> {
+fn find_split_turns(context: &AttemptContext) -> Option<&SplitSelector> {
     context.view.turns(&context.route.name).filter(|_| context.router.has(Mechanism::SplitTurns))
 }
 
--- a/crates/router/src/gather.rs
+++ b/crates/router/src/gather.rs
@@ -8,13 +8,13 @@
 use futures_util::stream::StreamExt;
 use http::{HeaderValue, Response};
 use http_body_util::Full;
-use streamfold_model::{ServiceName, ShardFold};
+use streamfold_model::{GatherSpec, ServiceName};
 use streamfold_policy::Moment;
 use streamfold_policy::answer_margin::answer_margin;
-use streamfold_policy::canary::RequestFate;
-use streamfold_policy::come_back::TurnReason;
+use streamfold_policy::canary::RequestVerdict;
 use streamfold_policy::fold_rule::{FoldRule, FoldStep};
-use streamfold_policy::late_alarm::AlarmWatch;
+use streamfold_policy::late_timer::TimerWatch;
+use streamfold_policy::retry_after::RefusalReason;
 use tokio::time::Sleep;
 
 use crate::answer::{CallerAnswer, RefusalKind};
@@ -60,7 +60,7 @@
     pub top: usize,
     pub(crate) calls: PendingCalls,
     pub(crate) pending_batches: PendingBatches,
-    watch: AlarmWatch,
+    watch: TimerWatch,
 }
 
 /// The outcome of a request to every shard.
@@ -80,7 +80,7 @@
 }
 
 /// The rule that decides when a request over shards is answered.
-pub(crate) fn fold_rule(context: &AttemptContext, fold: &ShardFold) -> FoldRule {
+pub(crate) fn fold_rule(context: &AttemptContext, fold: &GatherSpec) -> FoldRule {
     let margin = answer_margin(fold.shards.len(), context.router.settings.power());
     FoldRule {
         target: context.route.target_latency.saturating_sub(margin),
@@ -91,7 +91,7 @@
 }
 
 /// Queries every shard and folds the answers.
-pub async fn run(context: &AttemptContext, fold: &ShardFold) -> GatherOutcome {
+pub async fn run(context: &AttemptContext, fold: &GatherSpec) -> GatherOutcome {
     let mut round = GatherRound::new(context, fold, fold_rule(context, fold));
     let step = if round.is_reachable() {
         round.delegate();
@@ -116,7 +116,7 @@
 }
 
 impl<'a> GatherRound<'a> {
-    pub(crate) fn new(context: &'a AttemptContext, fold: &ShardFold, rule: FoldRule) -> Self {
+    pub(crate) fn new(context: &'a AttemptContext, fold: &GatherSpec, rule: FoldRule) -> Self {
         Self {
             context,
             slots: fold.shards.iter().cloned().map(ShardSlot::new).collect(),
@@ -125,7 +125,7 @@
             top: fold.top,
             calls: PendingCalls::new(),
             pending_batches: PendingBatches::new(),
-            watch: AlarmWatch::default(),
+            watch: TimerWatch::default(),
         }
     }
 
@@ -237,19 +237,19 @@
     /// caller can retry there.
     async fn check_fate(&mut self) {
         let fate = self.context.fate();
-        if fate == RequestFate::GoesOn {
+        if fate == RequestVerdict::Continue {
             return;
         }
         tracing::info!(
             event = "calls_cancelled",
             request = self.context.request.id_text(),
             content = %self.context.request.suspect.content,
-            is_blamed = fate == RequestFate::Blamed,
+            is_blamed = fate == RequestVerdict::AtFault,
             calls = self.calls.len(),
             batches = self.pending_batches.len()
         );
         self.cancel_calls();
-        if fate == RequestFate::Blamed {
+        if fate == RequestVerdict::AtFault {
             quarantine_news::blame(&self.context.router, self.context.request.suspect).await;
         }
     }
@@ -350,7 +350,7 @@
     fn refusal(&self) -> RefusalKind {
         let has_run = self.slots.iter().any(|slot| self.may_run(slot));
         match has_run {
-            false => RefusalKind::not_run(TurnReason::NoServer),
+            false => RefusalKind::not_run(RefusalReason::NoServer),
             true if self.context.now() >= self.context.request.deadline => RefusalKind::Late,
             true => RefusalKind::Lost,
         }
--- a/crates/router/src/peer_gather.rs
+++ b/crates/router/src/peer_gather.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use streamfold_model::ShardFold;
+use streamfold_model::GatherSpec;
 use streamfold_policy::fold_rule::FoldRule;
-use streamfold_policy::server_bound::ServerRights;
+use streamfold_policy::server_bound::SendPermission;
 
 use crate::attempt_context::AttemptContext;
 use crate::batch::{BatchMode, DomainReport, FoldedShard, MissingShard, ServerPace, ShardBatch, ShardReply};
@@ -21,12 +21,12 @@
 
 impl<'a> PeerGather<'a> {
     /// Starts to ask the shards.
-    pub fn start(context: &'a AttemptContext, fold: &ShardFold, batch: &ShardBatch, reply_within: Duration) -> Self {
+    pub fn start(context: &'a AttemptContext, fold: &GatherSpec, batch: &ShardBatch, reply_within: Duration) -> Self {
         let limit = context.request.deadline.since(context.request.started);
         let rule = FoldRule { target: reply_within.min(limit), limit, min_coverage: 0.0, shards: fold.shards.len() };
         let mut round = GatherRound::new(context, fold, rule);
         for (slot, shard) in round.slots.iter_mut().zip(&batch.shards) {
-            slot.attempts.rights = ServerRights::Lent { kept: shard.fallback.clone() };
+            slot.attempts.rights = SendPermission::Delegated { reserved: shard.fallback.clone() };
         }
         round.start_direct_calls();
         Self { round, mode: batch.mode, told: 0 }
