--- a/crates/router/src/attempt_context.rs
+++ b/crates/router/src/attempt_context.rs
@@ -63,7 +63,7 @@
     /// The request.
     pub request: Arc<CallerRequest>,
     /// The regions in which its route and its team allow it to be served.
-    pub homes: AllowedRegions,
+    pub allowed_regions: AllowedRegions,
     /// The team of its caller, where teams are configured.
     pub team: Option<Arc<TeamSpec>>,
     /// Its priority among requests for the same servers.
@@ -110,11 +110,11 @@
         self.choose(attempts, service)
     }
 
-    /// Picks the fallback server for a shard delegated to a failure domain: one attempt stays reserved for this node to
-    /// call that server itself.
-    pub fn choose_fallback(&self, attempts: &ServiceAttempts, domain: &FailureDomain) -> Option<ServerId> {
+    /// Picks the server to reserve when a shard is delegated to a failure domain. One of the allowed attempts is
+    /// reserved for it, so that this node can still call that server itself.
+    pub fn choose_reserved(&self, attempts: &ServiceAttempts, domain: &FailureDomain) -> Option<ServerId> {
         let service = self.view.services.get(&attempts.service)?;
-        let usable = service.usable(self.now(), &self.homes);
+        let usable = service.usable(self.now(), &self.allowed_regions);
         self.find_cheapest(usable.filter(|server| server.domain == *domain)).map(|server| server.id.clone())
     }
 
@@ -126,7 +126,7 @@
     /// The servers that may be tried next.
     pub(crate) fn candidates(&self, attempts: &ServiceAttempts, service: &Service) -> Vec<Arc<Server>> {
         let untried = |server: &&Arc<Server>| !attempts.tried.iter().any(|tried| Arc::ptr_eq(tried, server));
-        let candidates = service.usable(self.now(), &self.homes).filter(untried);
+        let candidates = service.usable(self.now(), &self.allowed_regions).filter(untried);
         let candidates = candidates.filter(|server| attempts.allow(server, self.route.max_attempts));
         let is_near = |server: &&Arc<Server>| server.distance == Distance::Domain;
         let candidates = candidates.filter(|server| self.origin != RequestOrigin::HedgingNode || is_near(server));
@@ -172,10 +172,10 @@
             return Err(stop);
         }
         // Content that crashed the servers that ran it crashes the next one too, whatever the request id.
-        let right = self.call_right();
-        match right {
+        let permission = self.call_permission();
+        match permission {
             CallPermission::Allowed | CallPermission::AsCanary => {}
-            CallPermission::Denied if !self.canary.is_undecided(self.standing()) => {
+            CallPermission::Denied if !self.canary.is_undecided(self.content_status()) => {
                 return Err(AttemptStop::Quarantined);
             }
             CallPermission::Wait | CallPermission::Denied => {
@@ -197,7 +197,7 @@
             metrics::counter!("streamfold_extra_calls_refused_total").increment(1);
             return Err(AttemptStop::Budget);
         }
-        match right {
+        match permission {
             CallPermission::AsCanary => self.canary.note_sent(self.now(), &server),
             _ => self.canary.note_free(),
         }
@@ -239,34 +239,34 @@
     /// Describes for the log why servers of a service are excluded, with the number of servers for each reason. `None`
     /// if none is excluded.
     pub(crate) fn list_exclusions(&self, service: &ServiceName) -> Option<String> {
-        let counts = self.view.services.get(service)?.count_bars(self.now(), &self.homes);
+        let counts = self.view.services.get(service)?.count_bars(self.now(), &self.allowed_regions);
         let named: Vec<String> = counts.iter().map(|(bar, count)| format!("{bar}:{count}")).collect();
         (!named.is_empty()).then(|| named.join(","))
     }
 
     /// The current quarantine state of the request content.
-    fn standing(&self) -> ContentStatus {
+    fn content_status(&self) -> ContentStatus {
         self.router.cluster.quarantine.standing(self.now(), self.request.suspect.content)
     }
 
     /// Whether a call may be sent, given what is known about the request content.
-    fn call_right(&self) -> CallPermission {
-        self.canary.right(self.now(), self.standing(), self.route.target_latency.max(MIN_CANARY_TIMEOUT))
+    fn call_permission(&self) -> CallPermission {
+        self.canary.right(self.now(), self.content_status(), self.route.target_latency.max(MIN_CANARY_TIMEOUT))
     }
 
-    /// Whether the request's calls in flight go on, given what is known about the request content.
-    pub(crate) fn fate(&self) -> RequestVerdict {
-        let standing = self.standing();
-        if standing == ContentStatus::Clear {
+    /// Whether the request continues or its calls are to be cancelled, given what is known about the request content.
+    pub(crate) fn verdict(&self) -> RequestVerdict {
+        let status = self.content_status();
+        if status == ContentStatus::Clear {
             return RequestVerdict::Continue;
         }
         let usual = self.times.typical(Distance::Far, self.route.target_latency);
-        self.canary.fate(standing, self.now().since(self.request.started), usual)
+        self.canary.fate(status, self.now().since(self.request.started), usual)
     }
 
     /// Whether the request may have any number of calls in flight, that is, whether no canary has to go first.
     pub(crate) fn is_unrestricted(&self) -> bool {
-        self.call_right() == CallPermission::Allowed
+        self.call_permission() == CallPermission::Allowed
     }
 
     /// Records how a call ended, to learn whether the request content crashes servers.
@@ -361,7 +361,7 @@
 
     /// Handles the timers that are due: retries after a backoff, checks the canary call and hedges overdue calls. If
     /// `far` is given, hedges to far servers are pushed there, to be made by nodes near those servers.
-    pub fn handle_alarms(
+    pub fn handle_timers(
         &self,
         position: usize,
         attempts: &mut ServiceAttempts,
--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -101,10 +101,10 @@
     pub may_have_run: bool,
     /// How the last failed call failed, for the log.
     pub(crate) failure: &'static str,
-    /// The servers that this node may call.
-    pub(crate) rights: SendPermission<ServerId>,
-    /// The server that this node may still call itself after it has delegated the shard.
-    pub(crate) fallback: Option<ServerId>,
+    /// Which servers this node may call.
+    pub(crate) send_permission: SendPermission<ServerId>,
+    /// The server reserved for this node, which it may still call itself after it has delegated the shard.
+    pub(crate) reserved: Option<ServerId>,
 }
 
 impl ServiceAttempts {
@@ -130,8 +130,8 @@
             is_remote_hedge: false,
             may_have_run: false,
             failure: "none",
-            rights: SendPermission::Any,
-            fallback: None,
+            send_permission: SendPermission::Any,
+            reserved: None,
         }
     }
 
@@ -180,31 +180,34 @@
 
     /// Records the attempts that another node reported. That node sends the request no more.
     pub fn note_remote_attempts(&mut self, sent: u32, has_reached_server: bool) {
-        self.rights = SendPermission::Any;
+        self.send_permission = SendPermission::Any;
         self.sent_remotely = sent;
         self.has_reached_server |= has_reached_server;
         self.may_have_run |= sent > 0;
     }
 
     /// Records that the node to which the request was delegated has stopped responding. It may have sent the request
-    /// or may still send it, so this node may call only the fallback server.
+    /// or may still send it, so this node may call only the reserved server.
     pub fn note_silent_node(&mut self) {
-        self.rights = self.fallback.clone().map_or(SendPermission::NoServer, SendPermission::Reserved);
+        self.send_permission = self.reserved.clone().map_or(SendPermission::NoServer, SendPermission::Reserved);
         self.has_reached_server = true;
         self.may_have_run = true;
     }
 
     /// Whether no attempt was made for the shard yet, so that it may be delegated to another node. After that, this
-    /// node may call only the fallback server.
+    /// node may call only the reserved server.
     pub fn is_unstarted(&self) -> bool {
-        self.tried.is_empty() && !self.is_queued && self.rights == SendPermission::Any && self.sent_remotely == 0
+        self.tried.is_empty()
+            && !self.is_queued
+            && self.send_permission == SendPermission::Any
+            && self.sent_remotely == 0
     }
 
     /// Whether the request may be sent to a server, given that it may run on at most `most` servers.
     pub(crate) fn allow(&self, server: &Server, most: u32) -> bool {
         let has_declined = |tried: &Arc<Server>| self.declined.iter().any(|declined| Arc::ptr_eq(declined, tried));
         let used = self.tried.iter().filter(|tried| !has_declined(tried)).map(|server| &server.id);
-        self.rights.allow(&server.id, used, most as usize)
+        self.send_permission.allow(&server.id, used, most as usize)
     }
 
     /// Records a hedge that another node makes to a server. It is overdue after `patience`.
@@ -275,7 +278,7 @@
     }
 
     /// When the next timer of these attempts is due.
-    pub fn next_alarm(&self) -> Option<Moment> {
+    pub fn next_timer(&self) -> Option<Moment> {
         let silence_at = self.silence.as_ref().map(SilenceWatch::ends_at);
         self.hedge_at.into_iter().chain(self.retry_at).chain(self.canary_check_at).chain(silence_at).min()
     }
--- a/crates/router/src/batch.rs
+++ b/crates/router/src/batch.rs
@@ -6,7 +6,7 @@
 use streamfold_model::{AllowedRegions, Priority, RouteName, ServerId, ServerRun, ServiceName, TableVersion, TeamName};
 
 /// The path for batches of shards. It contains the version of the message format, so that nodes with an older format
-/// refuse these batches and this node refuses theirs: a batch without its home regions must not be served.
+/// refuse these batches and this node refuses theirs: a batch without its allowed regions must not be served.
 pub const PATH_BATCH: &str = "/4/shards";
 /// The path for requests for what a node knows of the cluster, with the version of the message format.
 pub const PATH_KNOWLEDGE: &str = "/5/knowledge";
@@ -67,8 +67,8 @@
 pub struct BatchShard {
     /// The service of the shard.
     pub service: ServiceName,
-    /// The server that the requesting node may call itself if the other node stops responding.
-    pub fallback: Option<ServerId>,
+    /// The server reserved for the requesting node, which may call it itself if the other node stops responding.
+    pub reserved: Option<ServerId>,
 }
 
 /// A batch of shards that another node is to query.
@@ -93,7 +93,7 @@
     /// The most servers that the request may be sent to for each shard.
     pub max_attempts: u32,
     /// The regions in which its servers may be.
-    pub homes: AllowedRegions,
+    pub allowed_regions: AllowedRegions,
     /// The route's target latency, in microseconds.
     pub target_us: u64,
     /// The time left until the deadline of the request, in microseconds.
--- a/crates/router/src/delegate.rs
+++ b/crates/router/src/delegate.rs
@@ -108,8 +108,8 @@
 /// The size of a group of nodes for the placement rules; `None` if there are no nodes or one does not report its CPU
 /// share.
 fn owner_group(peers: &[Arc<PeerNode>]) -> Option<OwnerGroup> {
-    let powers: Option<Vec<CoreShare>> = peers.iter().map(|peer| peer.entry.cpu_share).collect();
-    powers?.into_iter().min().map(|power| OwnerGroup { count: peers.len(), power })
+    let cpu_shares: Option<Vec<CoreShare>> = peers.iter().map(|peer| peer.entry.cpu_share).collect();
+    cpu_shares?.into_iter().min().map(|power| OwnerGroup { count: peers.len(), power })
 }
 
 impl AttemptContext {
@@ -126,7 +126,7 @@
                 continue;
             }
             let Some(service) = self.view.services.get(&slot.attempts.service) else { continue };
-            let usable = service.usable(now, &self.homes).filter(|server| !server.state().is_avoided(now));
+            let usable = service.usable(now, &self.allowed_regions).filter(|server| !server.state().is_avoided(now));
             for server in usable.filter(|server| server.distance != Distance::Domain) {
                 let domain = (server.distance, server.domain.clone());
                 by_domain.entry(domain).or_default().insert(position);
@@ -153,11 +153,11 @@
 
     /// Whether shards near this node are delegated to stronger nodes near it.
     fn is_near_delegated(&self, near_peers: &[Arc<PeerNode>], shards: usize) -> bool {
-        let (Some(group), Some(power)) = (owner_group(near_peers), self.router.settings.power()) else {
+        let (Some(group), Some(cpu_share)) = (owner_group(near_peers), self.router.settings.power()) else {
             return false;
         };
         self.router.has(Mechanism::NearDelegation)
-            && group.is_delegation_faster(shards, self.route.target_latency, power)
+            && group.is_delegation_faster(shards, self.route.target_latency, cpu_share)
     }
 
     /// Splits the shards of a failure domain into batches for some of its nodes. As far as possible, every requesting
@@ -179,9 +179,9 @@
     }
 
     /// The nodes of a failure domain that work may be delegated to: its owners, or other nodes while no owner can be
-    /// reached. If the request is restricted to home regions, only nodes there, since the request body is sent along.
+    /// reached. Nodes outside the allowed regions are never used, since the request body is sent along.
     fn usable_peers(&self, domain: &FailureDomain) -> Vec<Arc<PeerNode>> {
-        if !self.homes.allows(self.router.cluster.place().region(domain)) {
+        if !self.allowed_regions.allows(self.router.cluster.place().region(domain)) {
             return Vec::new();
         }
         let now = self.now();
@@ -240,7 +240,7 @@
             mode,
             top,
             max_attempts,
-            homes: self.homes.clone(),
+            allowed_regions: self.allowed_regions.clone(),
             target_us: self.route.target_latency.as_micros() as u64,
             left_us: self.request.deadline.since(now).as_micros() as u64,
             reply_within_us: reply_within.as_micros() as u64,
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -45,10 +45,10 @@
     }
 
     /// Decides on a request, and logs the admission level when it changes.
-    fn decide(&self, now: Moment, ask: &EntryRequest) -> EntryDecision {
+    fn decide(&self, now: Moment, request: &EntryRequest) -> EntryDecision {
         let mut gate = lock(&self.gate);
         let before = gate.level().closed();
-        let step = gate.decide(now, ask);
+        let step = gate.decide(now, request);
         let level = gate.level();
         if level.closed() != before {
             metrics::gauge!("streamfold_closed_priorities").set(level.closed() as f64);
@@ -57,9 +57,9 @@
                 level = level.lowest_open().map(tracing::field::display),
                 closed = level.closed(),
                 before,
-                priority = %ask.priority,
-                wait_ms = ask.waited.as_millis() as u64,
-                target_ms = ask.target.as_millis() as u64
+                priority = %request.priority,
+                wait_ms = request.waited.as_millis() as u64,
+                target_ms = request.target.as_millis() as u64
             );
         }
         step
@@ -76,8 +76,8 @@
 /// # Errors
 /// The request is rejected and has reached no server.
 pub(crate) fn check(context: &AttemptContext) -> Result<(), RefusalKind> {
-    let RouteTarget::Gather(fold) = &context.route.target else { return Ok(()) };
-    if !is_gated(context, fold) {
+    let RouteTarget::Gather(spec) = &context.route.target else { return Ok(()) };
+    if !is_gated(context, spec) {
         return Ok(());
     }
     let now = context.now();
@@ -85,19 +85,19 @@
     note_own_waits(context, now);
     let reported = control.wait(now, context.priority);
     let left = context.request.deadline.since(now);
-    let ask = EntryRequest {
+    let request = EntryRequest {
         priority: context.priority,
         target: context.route.target_latency,
         left,
-        expected: expected_latency(context, fold, now, left),
+        expected: expected_latency(context, spec, now, left),
         waited: reported.wait,
     };
-    let (reason, wait) = match control.decide(now, &ask) {
+    let (reason, wait) = match control.decide(now, &request) {
         EntryDecision::Admit => return Ok(()),
         EntryDecision::CannotFinish { wait } => ("hopeless", wait),
         EntryDecision::Yield { wait } => ("give_way", wait),
     };
-    log_rejection(context, &ask, reported, reason);
+    log_rejection(context, &request, reported, reason);
     Err(RefusalKind::not_run(RefusalReason::Overload { wait }))
 }
 
@@ -109,41 +109,41 @@
 }
 
 /// Whether the gate applies to a route: only where its shards also serve requests of another priority.
-fn is_gated(context: &AttemptContext, fold: &GatherSpec) -> bool {
-    let is_mixed = fold.shards.iter().any(|shard| context.view.mixed.contains(shard));
+fn is_gated(context: &AttemptContext, spec: &GatherSpec) -> bool {
+    let is_mixed = spec.shards.iter().any(|shard| context.view.mixed.contains(shard));
     is_mixed && context.router.settings.scheduling.by_priority && context.router.has(Mechanism::EntryGate)
 }
 
 /// The expected time until enough shards have answered; `None` where too few have a usable server.
-fn expected_latency(context: &AttemptContext, fold: &GatherSpec, now: Moment, left: Duration) -> Option<Duration> {
-    let outlooks: Vec<ShardEstimate> =
-        fold.shards.iter().map(|shard| shard_outlook(context, shard, now, left)).collect();
-    estimate_answers(&outlooks, fold_rule(context, fold).min_answers())
+fn expected_latency(context: &AttemptContext, spec: &GatherSpec, now: Moment, left: Duration) -> Option<Duration> {
+    let estimates: Vec<ShardEstimate> =
+        spec.shards.iter().map(|shard| estimate_shard(context, shard, now, left)).collect();
+    estimate_answers(&estimates, fold_rule(context, spec).min_answers())
 }
 
 /// The expected response time of a shard. Stops at the first server expected to answer within `left`.
-fn shard_outlook(context: &AttemptContext, shard: &ServiceName, now: Moment, left: Duration) -> ShardEstimate {
+fn estimate_shard(context: &AttemptContext, shard: &ServiceName, now: Moment, left: Duration) -> ShardEstimate {
     let service = context.view.services.get(shard);
-    let usable = service.into_iter().flat_map(|service| service.usable(now, &context.homes));
-    let outlooks = usable.map(|server| {
+    let usable = service.into_iter().flat_map(|service| service.usable(now, &context.allowed_regions));
+    let estimates = usable.map(|server| {
         let typical = context.times.typical(server.distance, context.route.target_latency);
         server.outlook(now, typical)
     });
-    ShardEstimate::of(outlooks, left)
+    ShardEstimate::of(estimates, left)
 }
 
-fn log_rejection(context: &AttemptContext, ask: &EntryRequest, reported: MedianWait, reason: &'static str) {
-    let labels = [("reason", reason.to_owned()), ("priority", priority_label(ask.priority))];
+fn log_rejection(context: &AttemptContext, request: &EntryRequest, reported: MedianWait, reason: &'static str) {
+    let labels = [("reason", reason.to_owned()), ("priority", priority_label(request.priority))];
     metrics::counter!("streamfold_requests_turned_away_total", &labels).increment(1);
     tracing::info!(
         event = "request_turned_away",
         request = context.request.id_text(),
         route = %context.route.name,
-        priority = %ask.priority,
+        priority = %request.priority,
         team = context.team.as_ref().map(|team| team.name.as_str()),
         reason,
-        expected_ms = ask.expected.map(|expected| expected.as_millis() as u64),
-        left_ms = ask.left.as_millis() as u64,
+        expected_ms = request.expected.map(|expected| expected.as_millis() as u64),
+        left_ms = request.left.as_millis() as u64,
         level = context.router.entry.level().map(tracing::field::display),
         wait_ms = reported.wait.as_millis() as u64,
         wait_age_ms = reported.age.as_millis() as u64
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -175,18 +175,18 @@
     let team = authenticate(router, &routed, &head, &mut parts.headers)?;
     let body = read_body(body, routed.body_limit).await?;
     let times = routed.view.times.get(&routed.route.name).cloned().unwrap_or_default();
-    let is_lone = matches!(routed.route.target, RouteTarget::Split(_));
-    let request = CallerRequest::new(head, parts, body, arrival, routed.route.timeout, is_lone);
+    let is_single_service = matches!(routed.route.target, RouteTarget::Split(_));
+    let request = CallerRequest::new(head, parts, body, arrival, routed.route.timeout, is_single_service);
     // A request to a single server is refused early, so that its caller still has time to retry.
     let retry_within = match routed.route.target {
         RouteTarget::Gather(_) => routed.route.target_latency,
         RouteTarget::Split(_) => routed.route.target_latency.mul_f64(EARLY_REFUSAL_SHARE),
     };
-    let canary = if is_lone { CanaryCall::default() } else { CanaryCall::over_shards() };
+    let canary = if is_single_service { CanaryCall::default() } else { CanaryCall::over_shards() };
     Ok(AttemptContext {
         retry_until: arrival.started.plus(retry_within),
         router: router.clone(),
-        homes: team.as_ref().map_or_else(
+        allowed_regions: team.as_ref().map_or_else(
             || routed.route.allowed_regions.clone(),
             |team| routed.route.allowed_regions.intersect(&team.allowed_regions),
         ),
@@ -299,8 +299,8 @@
 
 async fn serve_admitted(context: &AttemptContext, record: &mut RequestRecord<'_>) -> Result<CallerAnswer, RefusalKind> {
     match &context.route.target {
-        RouteTarget::Gather(fold) => {
-            let end = gather::run(context, fold).await;
+        RouteTarget::Gather(spec) => {
+            let end = gather::run(context, spec).await;
             record.coverage = Some(RequestCoverage {
                 answered: end.answered,
                 shards: end.shards,
@@ -310,15 +310,15 @@
             });
             end.result
         }
-        RouteTarget::Split(parts) => match single::choose_service(parts, find_split_turns(context)) {
+        RouteTarget::Split(parts) => match single::choose_service(parts, find_split_selector(context)) {
             Some(service) => single::run(context, service).await,
             None => Err(RefusalKind::NoRoute),
         },
     }
 }
 
-/// The sequence of turns of a request's route, if its traffic is split between services by turns.
-fn find_split_turns(context: &AttemptContext) -> Option<&SplitSelector> {
+/// The selector of a request's route, if its traffic is split between services by turns.
+fn find_split_selector(context: &AttemptContext) -> Option<&SplitSelector> {
     context.view.turns(&context.route.name).filter(|_| context.router.has(Mechanism::SplitTurns))
 }
 
--- a/crates/router/src/gather.rs
+++ b/crates/router/src/gather.rs
@@ -80,19 +80,19 @@
 }
 
 /// The rule that decides when a request over shards is answered.
-pub(crate) fn fold_rule(context: &AttemptContext, fold: &GatherSpec) -> FoldRule {
-    let margin = answer_margin(fold.shards.len(), context.router.settings.power());
+pub(crate) fn fold_rule(context: &AttemptContext, spec: &GatherSpec) -> FoldRule {
+    let margin = answer_margin(spec.shards.len(), context.router.settings.power());
     FoldRule {
         target: context.route.target_latency.saturating_sub(margin),
         limit: context.request.deadline.since(context.request.started),
-        min_coverage: fold.min_coverage,
-        shards: fold.shards.len(),
+        min_coverage: spec.min_coverage,
+        shards: spec.shards.len(),
     }
 }
 
 /// Queries every shard and folds the answers.
-pub async fn run(context: &AttemptContext, fold: &GatherSpec) -> GatherOutcome {
-    let mut round = GatherRound::new(context, fold, fold_rule(context, fold));
+pub async fn run(context: &AttemptContext, spec: &GatherSpec) -> GatherOutcome {
+    let mut round = GatherRound::new(context, spec, fold_rule(context, spec));
     let step = if round.is_reachable() {
         round.delegate();
         round.start_direct_calls();
@@ -116,13 +116,13 @@
 }
 
 impl<'a> GatherRound<'a> {
-    pub(crate) fn new(context: &'a AttemptContext, fold: &GatherSpec, rule: FoldRule) -> Self {
+    pub(crate) fn new(context: &'a AttemptContext, spec: &GatherSpec, rule: FoldRule) -> Self {
         Self {
             context,
-            slots: fold.shards.iter().cloned().map(ShardSlot::new).collect(),
+            slots: spec.shards.iter().cloned().map(ShardSlot::new).collect(),
             batches: Vec::new(),
             rule,
-            top: fold.top,
+            top: spec.top,
             calls: PendingCalls::new(),
             pending_batches: PendingBatches::new(),
             watch: TimerWatch::default(),
@@ -180,9 +180,9 @@
         self.slots.iter().filter(|slot| self.is_expected(slot, now)).count()
     }
 
-    fn next_alarm(&self) -> Option<Moment> {
+    fn next_timer(&self) -> Option<Moment> {
         let waiting = self.slots.iter().filter(|slot| slot.part.is_none());
-        let hedges = waiting.filter_map(|slot| slot.attempts.next_alarm());
+        let hedges = waiting.filter_map(|slot| slot.attempts.next_timer());
         let takeovers = self.batches.iter().filter(|batch| batch.is_open).filter_map(|batch| batch.takeover_at);
         hedges.chain(takeovers).min()
     }
@@ -196,7 +196,7 @@
             let step = self.rule.step(elapsed, self.answered(), self.pending());
             let FoldStep::Wait(until) = step else { return step };
             let until = self.context.request.started.plus(until);
-            let wake = self.next_wake().map_or(until, |alarm| alarm.min(until));
+            let wake = self.next_wake().map_or(until, |timer_at| timer_at.min(until));
             timer.as_mut().reset(clock.instant(wake));
             self.wait_event(wake, timer.as_mut()).await;
         }
@@ -205,14 +205,14 @@
     /// Waits for the next event, at most until the deadline of the request.
     pub(crate) async fn wait_for_more(&mut self) {
         let end = self.context.request.started.plus(self.rule.limit);
-        let wake = self.next_wake().map_or(end, |alarm| alarm.min(end));
+        let wake = self.next_wake().map_or(end, |timer_at| timer_at.min(end));
         let timer = pin!(tokio::time::sleep_until(self.context.router.clock.instant(wake)));
         self.wait_event(wake, timer).await;
     }
 
     /// When to wake up for the next timer.
     fn next_wake(&self) -> Option<Moment> {
-        self.next_alarm().map(|alarm| self.watch.wake_at(alarm))
+        self.next_timer().map(|timer_at| self.watch.wake_at(timer_at))
     }
 
     async fn wait_event(&mut self, wake: Moment, timer: Pin<&mut Sleep>) {
@@ -225,18 +225,18 @@
             }
             () = timer => {
                 if self.watch.is_due(self.context.now(), wake) {
-                    self.handle_alarms();
+                    self.handle_timers();
                 }
             }
         }
-        self.check_fate().await;
+        self.check_verdict().await;
     }
 
     /// Cancels the calls of a request that can get no answer because its content crashes servers. That spares the
     /// servers that have not crashed yet. If this request is found to be the cause, other nodes are informed before its
     /// caller can retry there.
-    async fn check_fate(&mut self) {
-        let fate = self.context.fate();
+    async fn check_verdict(&mut self) {
+        let fate = self.context.verdict();
         if fate == RequestVerdict::Continue {
             return;
         }
@@ -265,13 +265,13 @@
         self.batches.iter_mut().for_each(|batch| batch.is_open = false);
     }
 
-    fn handle_alarms(&mut self) {
+    fn handle_timers(&mut self) {
         let now = self.context.now();
         let mut far = Vec::new();
         for (position, slot) in self.slots.iter_mut().enumerate().filter(|(_, slot)| slot.part.is_none()) {
             // Shards delegated by another node have servers near this node, so their hedges are not delegated again.
             let far = (self.context.origin == RequestOrigin::Caller).then_some(&mut far);
-            self.context.handle_alarms(position, &mut slot.attempts, &self.calls, far);
+            self.context.handle_timers(position, &mut slot.attempts, &self.calls, far);
         }
         self.send_hedges(far);
         for number in 0..self.batches.len() {
--- a/crates/router/src/gather_batch.rs
+++ b/crates/router/src/gather_batch.rs
@@ -56,12 +56,12 @@
         self.start_batch_shards(number, |_, attempts| attempts.note_remote_attempts(0, false));
     }
 
-    /// Assigns a shard to a batch and reserves a fallback server of the failure domain for this node.
+    /// Assigns a shard to a batch and reserves one server of the failure domain for this node.
     fn delegate_shard(&mut self, position: usize, number: usize, domain: &FailureDomain) -> BatchShard {
         let slot = &mut self.slots[position];
         slot.batch = Some(number);
-        slot.attempts.fallback = self.context.choose_fallback(&slot.attempts, domain);
-        BatchShard { service: slot.attempts.service.clone(), fallback: slot.attempts.fallback.clone() }
+        slot.attempts.reserved = self.context.choose_reserved(&slot.attempts, domain);
+        BatchShard { service: slot.attempts.service.clone(), reserved: slot.attempts.reserved.clone() }
     }
 
     /// Sends a batch and returns its number.
--- a/crates/router/src/gather_hedge.rs
+++ b/crates/router/src/gather_hedge.rs
@@ -29,7 +29,7 @@
             });
             request.positions.push(position);
             let service = self.slots[position].attempts.service.clone();
-            request.shards.push(BatchShard { service, fallback: None });
+            request.shards.push(BatchShard { service, reserved: None });
         }
         for request in requests.into_values() {
             let positions = request.positions.clone();
--- a/crates/router/src/peer_gather.rs
+++ b/crates/router/src/peer_gather.rs
@@ -26,7 +26,7 @@
         let rule = FoldRule { target: reply_within.min(limit), limit, min_coverage: 0.0, shards: fold.shards.len() };
         let mut round = GatherRound::new(context, fold, rule);
         for (slot, shard) in round.slots.iter_mut().zip(&batch.shards) {
-            slot.attempts.rights = SendPermission::Delegated { reserved: shard.fallback.clone() };
+            slot.attempts.send_permission = SendPermission::Delegated { reserved: shard.reserved.clone() };
         }
         round.start_direct_calls();
         Self { round, mode: batch.mode, told: 0 }
--- a/crates/router/src/peer_service.rs
+++ b/crates/router/src/peer_service.rs
@@ -224,7 +224,7 @@
         target_latency: Duration::from_micros(batch.target_us),
         max_attempts: batch.max_attempts,
         priority: batch.priority,
-        allowed_regions: batch.homes.clone(),
+        allowed_regions: batch.allowed_regions.clone(),
         is_auth_exempt: true,
         target: RouteTarget::Gather(fold),
     };
@@ -240,7 +240,7 @@
         priority: batch.priority,
         team: find_team(&view, batch),
         view,
-        homes: route.allowed_regions.clone(),
+        allowed_regions: route.allowed_regions.clone(),
         route: Arc::new(route),
         request: Arc::new(request),
         times,
--- a/crates/router/src/request.rs
+++ b/crates/router/src/request.rs
@@ -87,15 +87,15 @@
 }
 
 impl CallerRequest {
-    /// Creates a request whose body was read completely. `limit` is the longest timeout; `is_lone` tells that it
-    /// goes to a single service.
+    /// Creates a request whose body was read completely. `limit` is the longest timeout; `is_single_service` tells
+    /// that it goes to a single service.
     pub fn new(
         head: CallerHead,
         parts: http::request::Parts,
         body: Bytes,
         arrival: RequestArrival,
         limit: Duration,
-        is_lone: bool,
+        is_single_service: bool,
     ) -> CallerRequest {
         let mut headers = parts.headers;
         drop_hop_headers(&mut headers);
@@ -105,7 +105,7 @@
         let timeout = head.deadline.map_or(limit, |deadline| deadline.min(limit));
         let content = identify(&parts.method, &parts.uri, &headers, &body);
         Self {
-            suspect: CrashSuspect { content, is_single_service: is_lone },
+            suspect: CrashSuspect { content, is_single_service },
             id: head.request,
             started: arrival.started,
             read: arrival.read,
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -300,9 +300,9 @@
     /// # Errors
     /// The batch would have to wait too long; the error is that wait.
     pub(crate) fn admit_batch(&self, shards: usize, within: Duration) -> Result<(), Duration> {
-        let Some(power) = self.settings.power() else { return Ok(()) };
+        let Some(cpu_share) = self.settings.power() else { return Ok(()) };
         let mut gate = self.batch_gate.lock().unwrap_or_else(PoisonError::into_inner);
-        gate.admit(self.clock.now(), shards, power, within)
+        gate.admit(self.clock.now(), shards, cpu_share, within)
     }
 
     /// Whether the load balancer may send callers to this node.
--- a/crates/router/src/single.rs
+++ b/crates/router/src/single.rs
@@ -19,12 +19,12 @@
 
 /// Picks a service by the weights of a traffic split. The request stays with that service: if it has no free capacity,
 /// the request is refused rather than moved, since the other services would otherwise get more than their share.
-pub fn choose_service<'a>(parts: &'a [WeightedService], turns: Option<&SplitSelector>) -> Option<&'a ServiceName> {
+pub fn choose_service<'a>(parts: &'a [WeightedService], selector: Option<&SplitSelector>) -> Option<&'a ServiceName> {
     if parts.len() < 2 {
         return parts.first().map(|part| &part.service);
     }
     let weights: Vec<f64> = parts.iter().map(|part| part.weight).collect();
-    let chosen = turns.map_or_else(|| choose_part(&weights, rand::random()), |turns| turns.select(&weights));
+    let chosen = selector.map_or_else(|| choose_part(&weights, rand::random()), |selector| selector.select(&weights));
     chosen.map(|position| &parts[position].service)
 }
 
@@ -71,8 +71,8 @@
             if clock.now() >= deadline {
                 return None;
             }
-            let alarm = self.attempts.next_alarm().map(|alarm| watch.wake_at(alarm));
-            let wake = alarm.map_or(deadline, |alarm| alarm.min(deadline));
+            let timer_at = self.attempts.next_timer().map(|timer_at| watch.wake_at(timer_at));
+            let wake = timer_at.map_or(deadline, |timer_at| timer_at.min(deadline));
             timer.as_mut().reset(clock.instant(wake));
             tokio::select! {
                 biased;
@@ -84,7 +84,7 @@
                 () = &mut timer => {
                     let now = clock.now();
                     if now < deadline && watch.is_due(now, wake) {
-                        self.context.handle_alarms(0, &mut self.attempts, &self.calls, None);
+                        self.context.handle_timers(0, &mut self.attempts, &self.calls, None);
                     }
                 }
             }
--- a/crates/router/tests/attempts.rs
+++ b/crates/router/tests/attempts.rs
@@ -29,7 +29,7 @@
     let mut attempts = make_attempts();
     assert!(attempts.is_unstarted());
     attempts.note_silent_node();
-    assert!(!attempts.is_unstarted(), "the node that stopped responding may have run it");
+    assert!(!attempts.is_unstarted(), "the node that stopped responding may have sent it");
     let mut attempts = make_attempts();
     attempts.note_remote_attempts(1, true);
     assert!(!attempts.is_unstarted(), "another node has called a server");
