--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -174,7 +174,7 @@
     }
 
     /// The number of servers that may have run the request, and whether a call has reached any server.
-    pub fn tally(&self) -> (u32, bool) {
+    pub fn attempt_counts(&self) -> (u32, bool) {
         (self.sent + self.sent_remotely, self.has_reached_server || self.is_calling())
     }
 
@@ -188,7 +188,7 @@
 
     /// Records that the node to which the request was delegated has stopped responding. It may have sent the request
     /// or may still send it, so this node may call only the reserved server.
-    pub fn note_silent_node(&mut self) {
+    pub fn note_unresponsive_node(&mut self) {
         self.send_permission = self.reserved.clone().map_or(SendPermission::NoServer, SendPermission::Reserved);
         self.has_reached_server = true;
         self.may_have_run = true;
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -67,7 +67,7 @@
 }
 
 async fn serve_connection(router: Arc<Router>, stream: TcpStream) {
-    let _count = LiveCount::of_counted(&router.connections);
+    let _count = LiveCount::from_counted(&router.connections);
     let accepted = router.clock.now();
     if let Err(error) = set_tcp_options(&stream) {
         tracing::debug!(event = "connection_options_failed", %error);
--- a/crates/router/src/gather.rs
+++ b/crates/router/src/gather.rs
@@ -26,7 +26,7 @@
 use crate::quarantine_news;
 
 /// The most missing shards that a log line names.
-const NAMED_SHARDS: usize = 5;
+const MAX_NAMED_SHARDS: usize = 5;
 
 /// One shard of a request.
 pub struct ShardSlot {
@@ -198,16 +198,16 @@
             let until = self.context.request.started.plus(until);
             let wake = self.next_wake().map_or(until, |timer_at| timer_at.min(until));
             timer.as_mut().reset(clock.instant(wake));
-            self.wait_event(wake, timer.as_mut()).await;
+            self.handle_next_event(wake, timer.as_mut()).await;
         }
     }
 
     /// Waits for the next event, at most until the deadline of the request.
-    pub(crate) async fn wait_for_more(&mut self) {
+    pub(crate) async fn wait_for_next_event(&mut self) {
         let end = self.context.request.started.plus(self.rule.limit);
         let wake = self.next_wake().map_or(end, |timer_at| timer_at.min(end));
         let timer = pin!(tokio::time::sleep_until(self.context.router.clock.instant(wake)));
-        self.wait_event(wake, timer).await;
+        self.handle_next_event(wake, timer).await;
     }
 
     /// When to wake up for the next timer.
@@ -215,7 +215,7 @@
         self.next_timer().map(|timer_at| self.watch.wake_at(timer_at))
     }
 
-    async fn wait_event(&mut self, wake: Moment, timer: Pin<&mut Sleep>) {
+    async fn handle_next_event(&mut self, wake: Moment, timer: Pin<&mut Sleep>) {
         tokio::select! {
             biased;
             Some((position, event)) = self.calls.next() => self.handle_call_event(position, event),
@@ -344,7 +344,7 @@
 
     fn list_missing(&self) -> String {
         let missing = self.slots.iter().filter(|slot| slot.part.is_none());
-        join(missing.take(NAMED_SHARDS).map(|slot| slot.attempts.service.as_str()))
+        join(missing.take(MAX_NAMED_SHARDS).map(|slot| slot.attempts.service.as_str()))
     }
 
     fn refusal(&self) -> RefusalKind {
--- a/crates/router/src/gather_batch.rs
+++ b/crates/router/src/gather_batch.rs
@@ -86,12 +86,12 @@
             peer = %batch.peer.entry.node,
             shards = batch.positions.len()
         );
-        self.start_silent(number);
+        self.start_unresponsive(number);
     }
 
     /// Starts attempts for the shards of a batch whose node has stopped responding.
-    fn start_silent(&mut self, number: usize) {
-        self.start_batch_shards(number, |_, attempts| attempts.note_silent_node());
+    fn start_unresponsive(&mut self, number: usize) {
+        self.start_batch_shards(number, |_, attempts| attempts.note_unresponsive_node());
     }
 
     /// Starts attempts of this node for the unanswered shards of a batch, after `note` has recorded for each what the
@@ -143,7 +143,7 @@
                 );
                 match is_not_sent {
                     true => self.redelegate(number),
-                    false => self.start_silent(number),
+                    false => self.start_unresponsive(number),
                 }
             }
         }
@@ -201,7 +201,7 @@
             match reported {
                 Some(shard) => attempts.note_remote_attempts(shard.sent, shard.has_reached_server),
                 // The reply contains neither an answer nor the attempts made for this shard.
-                None => attempts.note_silent_node(),
+                None => attempts.note_unresponsive_node(),
             }
         };
         self.start_batch_shards(number, note);
--- a/crates/router/src/peer_gather.rs
+++ b/crates/router/src/peer_gather.rs
@@ -45,7 +45,7 @@
                 self.told = answered;
                 return (self.round.reply(self.mode), is_last);
             }
-            self.round.wait_for_more().await;
+            self.round.wait_for_next_event().await;
         }
     }
 }
@@ -64,7 +64,7 @@
                     shards.push(FoldedShard { position, proof: part.proof.as_bytes().to_vec(), records });
                 }
                 None => {
-                    let (sent, has_reached_server) = slot.attempts.tally();
+                    let (sent, has_reached_server) = slot.attempts.attempt_counts();
                     missing.push(MissingShard { position, sent, has_reached_server });
                 }
             }
--- a/crates/router/src/request.rs
+++ b/crates/router/src/request.rs
@@ -45,7 +45,7 @@
 
 /// The id of the content of a request. Headers other than the host are left out because they differ between
 /// retries of the same request.
-fn identify(method: &Method, uri: &Uri, headers: &HeaderMap, body: &Bytes) -> ContentId {
+fn identify_content(method: &Method, uri: &Uri, headers: &HeaderMap, body: &Bytes) -> ContentId {
     let host = headers.get(HOST).map_or(&b""[..], HeaderValue::as_bytes);
     let target = uri.path_and_query().map_or("", |target| target.as_str());
     ContentId::of(&[method.as_str().as_bytes(), host, target.as_bytes(), body])
@@ -103,7 +103,7 @@
         headers.remove(CONTENT_LENGTH);
         headers.remove(EXPECT);
         let timeout = head.deadline.map_or(limit, |deadline| deadline.min(limit));
-        let content = identify(&parts.method, &parts.uri, &headers, &body);
+        let content = identify_content(&parts.method, &parts.uri, &headers, &body);
         Self {
             suspect: CrashSuspect { content, is_single_service },
             id: head.request,
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -125,7 +125,7 @@
     }
 
     /// Takes over an increment that was made before.
-    pub fn of_counted(counter: &'a AtomicUsize) -> Self {
+    pub fn from_counted(counter: &'a AtomicUsize) -> Self {
         Self(counter)
     }
 }
--- a/crates/router/tests/attempts.rs
+++ b/crates/router/tests/attempts.rs
@@ -19,16 +19,20 @@
 fn servers_called_by_another_node_count_toward_the_limit() {
     let mut attempts = make_attempts();
     attempts.note_remote_attempts(2, true);
-    assert_eq!((attempts.tally(), attempts.may_have_run), ((2, true), true));
+    assert_eq!((attempts.attempt_counts(), attempts.may_have_run), ((2, true), true));
     attempts.note_remote_hedge_end(false);
-    assert_eq!(attempts.tally(), (2, true), "a hedge that was not made does not reduce the count of the other node");
+    assert_eq!(
+        attempts.attempt_counts(),
+        (2, true),
+        "a hedge that was not made does not reduce the count of the other node"
+    );
 }
 
 #[test]
 fn a_shard_with_attempts_is_not_delegated() {
     let mut attempts = make_attempts();
     assert!(attempts.is_unstarted());
-    attempts.note_silent_node();
+    attempts.note_unresponsive_node();
     assert!(!attempts.is_unstarted(), "the node that stopped responding may have sent it");
     let mut attempts = make_attempts();
     attempts.note_remote_attempts(1, true);
