--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -1,5 +1,6 @@
-//! Turns requests over shards away before anything is sent: those that cannot be answered in time, and those that
-//! give way to more urgent ones. The rules are in `policy::entry_gate`; they are asked once, at the entry node.
+//! Admission control for requests over shards. Before any call is sent, it rejects requests that cannot finish in
+//! time and, under overload, requests that must yield to more urgent ones. The rules are in `policy::entry_gate` and
+//! are applied once per request, at the entry node.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -17,10 +18,10 @@
 use crate::call_waits::priority_label;
 use crate::gather::fold_rule;
 
-/// Priorities of one report that are heard: routes have a few.
+/// The most priorities read from one report; routes use only a few.
 const MAX_WAITS: usize = 16;
 
-/// What the node knows for its decisions on requests that arrive.
+/// Admission state of this node: the gate and the queueing times that nodes have reported.
 #[derive(Default)]
 pub struct EntryControl {
     gate: Mutex<EntryGate>,
@@ -32,10 +33,10 @@
 }
 
 impl EntryControl {
-    /// Notes what a node, this one or another, tells now of how long calls wait there.
+    /// Records how long calls wait at a node, this one or another, as it reported just now.
     pub fn note_report(&self, now: Moment, domain: &FailureDomain, node: &NodeId, report: &DomainReport) {
         let waits =
-            report.waits.iter().take(MAX_WAITS).map(|told| (told.priority, Duration::from_micros(told.wait_us)));
+            report.waits.iter().take(MAX_WAITS).map(|wait| (wait.priority, Duration::from_micros(wait.wait_us)));
         lock(&self.waits).note(now, domain, node, waits);
     }
 
@@ -43,11 +44,11 @@
         lock(&self.waits).wait(now, priority)
     }
 
-    /// What becomes of a request; tells the level if it has changed.
-    fn decide(&self, now: Moment, ask: &EntryRequest) -> EntryDecision {
+    /// Decides on a request, and logs the admission level when it changes.
+    fn decide(&self, now: Moment, request: &EntryRequest) -> EntryDecision {
         let mut gate = lock(&self.gate);
         let before = gate.level().closed();
-        let step = gate.decide(now, ask);
+        let step = gate.decide(now, request);
         let level = gate.level();
         if level.closed() != before {
             metrics::gauge!("streamfold_closed_priorities").set(level.closed() as f64);
@@ -56,94 +57,95 @@
                 level = level.lowest_open().map(tracing::field::display),
                 closed = level.closed(),
                 before,
-                priority = %ask.priority,
-                wait_ms = ask.waited.as_millis() as u64,
-                target_ms = ask.target.as_millis() as u64
+                priority = %request.priority,
+                wait_ms = request.waited.as_millis() as u64,
+                target_ms = request.target.as_millis() as u64
             );
         }
         step
     }
 
-    /// The least urgent priority that is let in, if any is closed.
+    /// The least urgent priority that is still admitted; `None` while all are.
     fn level(&self) -> Option<Priority> {
         lock(&self.gate).level().lowest_open()
     }
 }
 
-/// Lets a request over shards in, where the settings and the routes in force call for that.
+/// Checks whether a request over shards is admitted. Requests that the gate does not apply to always pass.
 ///
 /// # Errors
-/// It is turned away and has reached no server.
+/// The request is rejected and has reached no server.
 pub(crate) fn check(context: &AttemptContext) -> Result<(), RefusalKind> {
-    let RouteTarget::Gather(fold) = &context.route.target else { return Ok(()) };
-    if !is_used(context, fold) {
+    let RouteTarget::Gather(spec) = &context.route.target else { return Ok(()) };
+    if !is_gated(context, spec) {
         return Ok(());
     }
     let now = context.now();
     let control = &context.router.entry;
-    note_own(context, now);
-    let told = control.wait(now, context.priority);
+    note_own_waits(context, now);
+    let reported = control.wait(now, context.priority);
     let left = context.request.deadline.since(now);
-    let ask = EntryRequest {
+    let request = EntryRequest {
         priority: context.priority,
         target: context.route.target_latency,
         left,
-        expected: expect(context, fold, now, left),
-        waited: told.wait,
+        expected: expected_latency(context, spec, now, left),
+        waited: reported.wait,
     };
-    let (reason, wait) = match control.decide(now, &ask) {
+    let (reason, wait) = match control.decide(now, &request) {
         EntryDecision::Admit => return Ok(()),
         EntryDecision::CannotFinish { wait } => ("hopeless", wait),
         EntryDecision::Yield { wait } => ("give_way", wait),
     };
-    note_turned_away(context, &ask, told, reason);
+    log_rejection(context, &request, reported, reason);
     Err(RefusalKind::not_run(RefusalReason::Overload { wait }))
 }
 
-/// Notes how long calls wait at this node: it hears of the others by their replies.
-fn note_own(context: &AttemptContext, now: Moment) {
+/// Records how long calls wait at this node; other nodes report it in their replies.
+fn note_own_waits(context: &AttemptContext, now: Moment) {
     let settings = &context.router.settings;
     let own = DomainReport { waits: context.view.waits.report(now), ..DomainReport::default() };
     context.router.entry.note_report(now, &settings.failure_domain, &settings.node, &own);
 }
 
-/// Whether requests of a route are turned away at all: only where others at its shards are more or less urgent.
-fn is_used(context: &AttemptContext, fold: &GatherSpec) -> bool {
-    let is_mixed = fold.shards.iter().any(|shard| context.view.mixed_priority_services.contains(shard));
+/// Whether the gate applies to a route: only where its shards also serve requests of another priority.
+fn is_gated(context: &AttemptContext, spec: &GatherSpec) -> bool {
+    let is_mixed = spec.shards.iter().any(|shard| context.view.mixed_priority_services.contains(shard));
     is_mixed && context.router.settings.scheduling.by_priority && context.router.has(Mechanism::EntryGate)
 }
 
-/// When enough shards of a request are expected to have answered.
-fn expect(context: &AttemptContext, fold: &GatherSpec, now: Moment, left: Duration) -> Option<Duration> {
-    let outlooks: Vec<ShardEstimate> = fold.shards.iter().map(|shard| foresee(context, shard, now, left)).collect();
-    estimate_answers(&outlooks, fold_rule(context, fold).min_answers())
+/// The expected time until enough shards have answered; `None` where too few have a usable server.
+fn expected_latency(context: &AttemptContext, spec: &GatherSpec, now: Moment, left: Duration) -> Option<Duration> {
+    let estimates: Vec<ShardEstimate> =
+        spec.shards.iter().map(|shard| estimate_shard(context, shard, now, left)).collect();
+    estimate_answers(&estimates, fold_rule(context, spec).min_answers())
 }
 
-/// What is known of a shard's servers; of no further ones once one is expected in time.
-fn foresee(context: &AttemptContext, shard: &ServiceName, now: Moment, left: Duration) -> ShardEstimate {
+/// The expected response time of a shard. Stops at the first server expected to answer within `left`.
+fn estimate_shard(context: &AttemptContext, shard: &ServiceName, now: Moment, left: Duration) -> ShardEstimate {
     let service = context.view.services.get(shard);
-    let usable = service.into_iter().flat_map(|service| service.usable(now, &context.homes));
-    let outlooks = usable.map(|server| {
+    let usable = service.into_iter().flat_map(|service| service.usable(now, &context.allowed_regions));
+    let estimates = usable.map(|server| {
         let typical = context.times.typical(server.distance, context.route.target_latency);
         server.estimate_finish(now, typical)
     });
-    ShardEstimate::of(outlooks, left)
+    ShardEstimate::of(estimates, left)
 }
 
-fn note_turned_away(context: &AttemptContext, ask: &EntryRequest, told: MedianWait, reason: &'static str) {
-    let labels = [("reason", reason.to_owned()), ("priority", priority_label(ask.priority))];
+fn log_rejection(context: &AttemptContext, request: &EntryRequest, reported: MedianWait, reason: &'static str) {
+    let labels = [("reason", reason.to_owned()), ("priority", priority_label(request.priority))];
     metrics::counter!("streamfold_requests_turned_away_total", &labels).increment(1);
     tracing::info!(
         event = "request_turned_away",
         request = context.request.id_text(),
         route = %context.route.name,
-        priority = %ask.priority,
+        priority = %request.priority,
         team = context.team.as_ref().map(|team| team.name.as_str()),
         reason,
-        expected_ms = ask.expected.map(|expected| expected.as_millis() as u64),
-        left_ms = ask.left.as_millis() as u64,
+        expected_ms = request.expected.map(|expected| expected.as_millis() as u64),
+        left_ms = request.left.as_millis() as u64,
         level = context.router.entry.level().map(tracing::field::display),
-        wait_ms = told.wait.as_millis() as u64,
-        wait_age_ms = told.age.as_millis() as u64
+        wait_ms = reported.wait.as_millis() as u64,
+        wait_age_ms = reported.age.as_millis() as u64
     );
 }
--- a/crates/router/src/peer_gather.rs
+++ b/crates/router/src/peer_gather.rs
@@ -8,7 +8,7 @@
 
 use crate::attempt_context::AttemptContext;
 use crate::batch::{BatchMode, DomainReport, FoldedShard, MissingShard, ServerPace, ShardBatch, ShardReply};
-use crate::fold::cut_records;
+use crate::fold::trim_records;
 use crate::gather::GatherRound;
 use crate::pace_report::report_paces;
 
@@ -27,9 +27,9 @@
         let rule = FoldRule { target: reply_within.min(limit), limit, min_coverage: 0.0, shards: spec.shards.len() };
         let mut round = GatherRound::new(context, spec, rule);
         for (slot, shard) in round.slots.iter_mut().zip(&batch.shards) {
-            slot.attempts.rights = SendPermission::Delegated { reserved: shard.kept.clone() };
+            slot.attempts.send_permission = SendPermission::Delegated { reserved: shard.reserved.clone() };
         }
-        round.start_rest();
+        round.start_direct_calls();
         Self { round, mode: batch.mode, replied: 0 }
     }
 
@@ -46,7 +46,7 @@
                 self.replied = answered;
                 return (self.round.reply(self.mode), is_last);
             }
-            self.round.wait_for_more().await;
+            self.round.wait_for_next_event().await;
         }
     }
 }
@@ -61,13 +61,13 @@
                 Some(part) => {
                     let records = match mode {
                         BatchMode::Folded => Vec::new(),
-                        BatchMode::Each { floor } => cut_records(&part.records, floor),
+                        BatchMode::Each { floor } => trim_records(&part.records, floor),
                     };
                     shards.push(FoldedShard { position, proof: part.proof.as_bytes().to_vec(), records });
                 }
                 None => {
-                    let (sent, has_arrived) = slot.attempts.tally();
-                    missing.push(MissingShard { position, sent, has_arrived });
+                    let (sent, has_reached_server) = slot.attempts.attempt_counts();
+                    missing.push(MissingShard { position, sent, has_reached_server });
                 }
             }
         }
--- a/crates/router/src/peer_service.rs
+++ b/crates/router/src/peer_service.rs
@@ -16,11 +16,11 @@
 use streamfold_policy::Moment;
 use tokio::net::TcpListener;
 
-use crate::attempt_context::{AttemptContext, RequestAsker};
+use crate::attempt_context::{AttemptContext, RequestOrigin};
 use crate::batch::{BatchFrame, BatchMode, PATH_BATCH, PATH_KNOWLEDGE, ShardBatch, ShardReply};
 use crate::canary::CanaryCall;
 use crate::cluster_view::ClusterView;
-use crate::delegate::ASKING_SHARE;
+use crate::delegate::REQUESTER_SHARE;
 use crate::interface::{CallerHead, PresentedKey};
 use crate::knowledge::{self, KnowledgeRequest};
 use crate::peer_gather::PeerGather;
@@ -108,7 +108,7 @@
     let accepted = router.clock.now();
     router.note_version(batch.version);
     let context = build_context(router, &batch)?;
-    let first_frame_delay = Duration::from_micros(batch.alive_within_us);
+    let first_frame_delay = Duration::from_micros(batch.progress_within_us);
     let reply_within = Duration::from_micros(batch.reply_within_us);
     let mut stream = respond.send_response(Response::new(()), false)?;
     let RouteTarget::Gather(spec) = &context.route.target else { return Err(PeerError::BadStatus(400)) };
@@ -228,14 +228,14 @@
         target_latency: Duration::from_micros(batch.target_us),
         max_attempts: batch.max_attempts,
         priority: batch.priority,
-        allowed_regions: batch.homes.clone(),
+        allowed_regions: batch.allowed_regions.clone(),
         is_auth_exempt: true,
         target: RouteTarget::Gather(spec),
     };
-    let (asker, request_share) = match batch.mode {
-        BatchMode::Folded => (RequestAsker::Node, 1.0 - ASKING_SHARE),
+    let (origin, request_share) = match batch.mode {
+        BatchMode::Folded => (RequestOrigin::Node, 1.0 - REQUESTER_SHARE),
         // The entry node has counted the call as an extra call.
-        BatchMode::Each { .. } => (RequestAsker::Hedger, 0.0),
+        BatchMode::Each { .. } => (RequestOrigin::HedgingNode, 0.0),
     };
     let retry_until = now.plus(Duration::from_micros(batch.reply_within_us));
     Ok(AttemptContext {
@@ -244,12 +244,12 @@
         priority: batch.priority,
         team: find_team(&view, batch),
         view,
-        homes: route.allowed_regions.clone(),
+        allowed_regions: route.allowed_regions.clone(),
         route: Arc::new(route),
         request: Arc::new(request),
         times,
         request_share,
-        asker,
+        origin,
         canary: CanaryCall::over_shards(),
     })
 }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -85,7 +85,7 @@
         let interval = if router.uptime() < STARTUP_TIME { START_CONNECT_INTERVAL } else { CONNECT_INTERVAL };
         tokio::select! {
             () = tokio::time::sleep(interval.mul_f64(rand::random_range(0.8..1.2))) => {}
-            () = router.nodes_learnt.notified() => {}
+            () = router.nodes_listed.notified() => {}
         }
     }
 }
@@ -134,7 +134,7 @@
     /// it is cancelled if the first frame is overdue: a node that starts it later would give servers more time than the
     /// caller has.
     pub async fn send(mut self, batch: ShardBatch) -> (Self, BatchEvent) {
-        let first_frame_timeout = Duration::from_micros(batch.alive_within_us) + MAX_TRANSIT;
+        let first_frame_timeout = Duration::from_micros(batch.progress_within_us) + MAX_TRANSIT;
         let link = self.peer.link.clone();
         let started = async move {
             let mut reader = link.stream(PATH_BATCH, &batch).await?;
--- a/crates/router/src/router_start.rs
+++ b/crates/router/src/router_start.rs
@@ -124,9 +124,9 @@
 /// Signals a suspension of the machine to the tasks that follow the store, which then read everything again.
 fn note_suspension(router: &Router) {
     let suspended = router.clock.suspended();
-    let before = *router.woken.borrow();
+    let before = *router.suspended_for.borrow();
     if suspended > before {
         tracing::warn!(event = "machine_was_suspended", for_ms = (suspended - before).as_millis() as u64);
-        router.woken.send_replace(suspended);
+        router.suspended_for.send_replace(suspended);
     }
 }
