--- a/crates/router/src/attempt_context.rs
+++ b/crates/router/src/attempt_context.rs
@@ -246,7 +246,7 @@
 
     /// The current quarantine state of the request content.
     fn content_status(&self) -> ContentStatus {
-        self.router.cluster.quarantine.standing(self.now(), self.request.suspect.content)
+        self.router.cluster.quarantine.status(self.now(), self.request.suspect.content)
     }
 
     /// Whether a call may be sent, given what is known about the request content.
@@ -305,7 +305,8 @@
     fn call(&self, position: usize, server: Arc<Server>, mark: SentMark) -> PendingCall {
         let typical = self.times.typical(server.distance, self.route.target_latency);
         let line = self.view.services.get(&server.service).and_then(Service::queue).cloned();
-        let running = call::run(self.router.clone(), server, self.request.clone(), self.is_at_most_once(), mark, typical);
+        let running =
+            call::run(self.router.clone(), server, self.request.clone(), self.is_at_most_once(), mark, typical);
         let clock = self.router.clock;
         let started = self.now();
         let guard = line.map(|line| CapacityNotice { line, clock });
--- a/crates/router/src/caller_team.rs
+++ b/crates/router/src/caller_team.rs
@@ -34,7 +34,9 @@
         // The key may have been revoked meanwhile.
         None if team.is_some() => Err(unknown()),
         // The key may have been issued meanwhile.
-        None if matches!(shown, PresentedKey::Key(_)) && (!unfollowed.is_zero() || router.is_behind()) => Err(unknown()),
+        None if matches!(shown, PresentedKey::Key(_)) && (!unfollowed.is_zero() || router.is_behind()) => {
+            Err(unknown())
+        }
         None => Err(RefusalKind::NoKey),
     }
 }
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -174,7 +174,7 @@
     })?;
     let team = authenticate(router, &routed, &head, &mut parts.headers)?;
     let body = read_body(body, routed.body_limit).await?;
-    let times = routed.view.times.get(&routed.route.name).cloned().unwrap_or_default();
+    let times = routed.view.latencies.get(&routed.route.name).cloned().unwrap_or_default();
     let is_single_service = matches!(routed.route.target, RouteTarget::Split(_));
     let request = CallerRequest::new(head, parts, body, arrival, routed.route.timeout, is_single_service);
     // A request to a single server is refused early, so that its caller still has time to retry.
--- a/crates/router/src/hedge.rs
+++ b/crates/router/src/hedge.rs
@@ -76,7 +76,7 @@
 
     /// Whether calls are queued for the service; they take precedence over hedges.
     fn has_queued_calls(&self, attempts: &ServiceAttempts) -> bool {
-        let queue = self.view.services.get(&attempts.service).and_then(Service::line);
+        let queue = self.view.services.get(&attempts.service).and_then(Service::queue);
         queue.is_some_and(|queue| queue.is_busy())
     }
 
