--- a/crates/router/src/attempt_context.rs
+++ b/crates/router/src/attempt_context.rs
@@ -307,7 +307,7 @@
         let running = call::run(self.router.clone(), server, self.request.clone(), self.is_once(), mark, typical);
         let clock = self.router.clock;
         let started = self.now();
-        let room = line.map(|line| CapacityNotice { line, clock });
+        let room = line.map(|line| CapacityNotice { queue: line, clock });
         let timed = async move {
             let _room = room;
             let ended = running.await;
--- a/crates/router/src/call_line.rs
+++ b/crates/router/src/call_line.rs
@@ -1,7 +1,9 @@
-//! Calls that wait at this node for a server of one service, and which of them is called up when one may be free.
+//! The queue of calls that wait on this node for a server of one service, and the choice of the call that checks for a
+//! free server next.
 //!
-//! One call at a time is called up: it takes a server, or goes back to its place, and then the next one is. A call
-//! that comes meanwhile joins the line, so that nobody takes the server that a waiting call was called up for.
+//! One call at a time is selected: it takes a server or returns to its queue position, and then the next call is
+//! selected. A call that arrives meanwhile joins the queue, so that no other call takes the server for which a waiting
+//! call was selected.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -16,21 +18,21 @@
 use crate::clock::NodeClock;
 use crate::contention::QueueRule;
 
-/// How often waiting calls look for room although no call has ended, since what servers told fades; and how long one
-/// that is called up may take. Its request is usually woken within a fraction of a millisecond.
-const LOOK_AGAIN: Duration = Duration::from_millis(25);
-/// After so many calls of one round found no server they can use, one more may look, and then none until the next
-/// round: each look costs a wakeup.
-const MAX_PASSED: u32 = 4;
+/// How often waiting calls check for capacity although no call has ended, since the load that servers reported expires.
+/// Also how long a selected call may take; its request task is usually woken within a fraction of a millisecond.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(25);
+/// After this many calls of one round found no usable server, one more call may check, and then none until the next
+/// round. Each check costs a task wakeup.
+const MAX_SKIPPED: u32 = 4;
 
-/// A call in the line.
+/// A call in the queue.
 struct QueuedCall {
     call: WaitingCall,
     wake: Arc<Notify>,
-    /// The round in which it last looked for room.
-    looked_in: u64,
-    /// Whether it was called up and did not act; it is passed over until its request does anything again.
-    is_asleep: bool,
+    /// The round in which it last checked for capacity.
+    checked_round: u64,
+    /// Whether it was selected and its request did nothing. It is skipped until its request acts again.
+    is_unresponsive: bool,
 }
 
 type CallWork = WaitingWork<Moment, QueuedCall>;
@@ -38,18 +40,18 @@
 struct QueueState {
     rule: QueueRule,
     order: Box<dyn CallOrder>,
-    /// The latest start first; the order goes before that.
-    line: WaitQueue<Moment, QueuedCall>,
-    /// The call that is called up, and since when.
-    called: Option<(CallWork, Moment)>,
-    /// Counts the moments at which there may have been room anew.
+    /// Sorted by the latest start. The call order takes precedence over this.
+    queue: WaitQueue<Moment, QueuedCall>,
+    /// The selected call and the time of its selection.
+    selected: Option<(CallWork, Moment)>,
+    /// Number of times at which capacity may have become available.
     round: u64,
-    passed: u32,
-    /// When the present round began.
-    round_began: Moment,
+    skipped: u32,
+    /// When the current round started.
+    round_started: Moment,
 }
 
-/// Calls that wait for a service.
+/// The queue of calls that wait for one service.
 pub struct CallQueue {
     service: ServiceName,
     waits: Arc<CallWaits>,
@@ -58,62 +60,63 @@
 
 impl QueueState {
     fn is_busy(&self) -> bool {
-        self.called.is_some() || !self.line.is_empty()
+        self.selected.is_some() || !self.queue.is_empty()
     }
 
-    /// Notes that there may be room.
+    /// Records that there may be capacity, which starts a new round.
     fn note_capacity(&mut self, now: Moment) {
         self.round += 1;
-        self.passed = 0;
-        self.round_began = now;
-        self.call_up(now);
+        self.skipped = 0;
+        self.round_started = now;
+        self.select_next(now);
     }
 
-    /// Calls up the first call that has not looked in this round, if none is called up.
-    fn call_up(&mut self, now: Moment) {
-        if self.called.as_ref().is_some_and(|(_, since)| now.since(*since) < LOOK_AGAIN) {
+    /// Selects the first call that has not checked in this round, if no call is selected.
+    fn select_next(&mut self, now: Moment) {
+        if self.selected.as_ref().is_some_and(|(_, since)| now.since(*since) < RECHECK_INTERVAL) {
             return;
         }
-        if let Some((mut late, _)) = self.called.take() {
-            late.item.is_asleep = true;
-            self.line.requeue(late);
+        if let Some((mut stalled, _)) = self.selected.take() {
+            stalled.item.is_unresponsive = true;
+            self.queue.requeue(stalled);
         }
-        self.line.remove_expired(now);
-        if self.passed > MAX_PASSED {
+        self.queue.remove_expired(now);
+        if self.skipped > MAX_SKIPPED {
             return;
         }
-        let waiting = self.line.iter().filter(|work| work.item.looked_in < self.round && !work.item.is_asleep);
-        // The last one that may look is the one that has not for longest: the first in line may all be in need of the
-        // same servers, and nobody behind them would ever look.
-        let first = match self.passed < MAX_PASSED {
+        let waiting =
+            self.queue.iter().filter(|work| work.item.checked_round < self.round && !work.item.is_unresponsive);
+        // The last call that may check is the one whose last check is the oldest. The calls at the head of the queue
+        // may all need the same servers, and the calls behind them would otherwise never check.
+        let next = match self.skipped < MAX_SKIPPED {
             true => waiting.min_by_key(|work| self.order.rank(now, &work.item.call)),
-            false => waiting.min_by_key(|work| work.item.looked_in),
+            false => waiting.min_by_key(|work| work.item.checked_round),
         };
-        let first = first.map(|work| work.id);
-        let Some(mut work) = first.and_then(|place| self.line.remove(place)) else { return };
-        work.item.looked_in = self.round;
+        let next = next.map(|work| work.id);
+        let Some(mut work) = next.and_then(|id| self.queue.remove(id)) else { return };
+        work.item.checked_round = self.round;
         work.item.wake.notify_one();
-        self.called = Some((work, now));
+        self.selected = Some((work, now));
     }
 
-    /// Takes out the call that is called up, if it is the one of a place.
-    fn take_called(&mut self, place: WaitId) -> Option<CallWork> {
-        let (work, _) = self.called.take_if(|(work, _)| work.id == place)?;
+    /// Removes and returns the selected call if it has the given id.
+    fn take_selected(&mut self, id: WaitId) -> Option<CallWork> {
+        let (work, _) = self.selected.take_if(|(work, _)| work.id == id)?;
         Some(work)
     }
 }
 
 impl CallQueue {
-    /// A line in which nothing waits.
+    /// Creates an empty queue.
     pub fn new(service: ServiceName, rule: QueueRule, waits: Arc<CallWaits>) -> Arc<Self> {
         let state = QueueState {
             rule,
             order: rule.order(),
-            line: WaitQueue::default(),
-            called: None,
+            queue: WaitQueue::default(),
+            selected: None,
             round: 1,
-            passed: 0,
-            round_began: Moment::default(),
+            skipped: 0,
+            round_started: Moment::default(),
         };
         Arc::new(Self { service, waits, state: Mutex::new(state) })
     }
@@ -122,7 +125,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Puts another rule in force; calls keep their places.
+    /// Replaces the queue rule. Calls keep their queue positions.
     pub fn set_rule(&self, rule: QueueRule) {
         let mut state = self.state();
         if state.rule != rule {
@@ -136,70 +139,76 @@
         self.state().is_busy()
     }
 
-    /// Calls that wait.
+    /// Number of waiting calls.
     pub fn len(&self) -> usize {
         let state = self.state();
-        state.line.len() + usize::from(state.called.is_some())
+        state.queue.len() + usize::from(state.selected.is_some())
     }
 
-    /// Whether none waits.
+    /// Whether no call waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The present round, which a call that looks for room tells when it joins: what became free meanwhile is not
-    /// missed.
+    /// The current round. A call reads it before it checks for capacity and passes it to [`CallQueue::push`], so that a
+    /// server that is freed in between is not missed.
     pub fn round(&self) -> u64 {
         self.state().round
     }
 
-    /// Notes that there may be room for a call.
+    /// Records that there may be capacity for a call.
     pub fn note_capacity(&self, now: Moment) {
         self.state().note_capacity(now);
     }
 
-    /// Notes that a call began without waiting.
+    /// Records that a call was sent without waiting.
     pub fn note_immediate(&self, now: Moment, priority: Priority) {
         self.waits.note(now, priority, Duration::ZERO);
     }
 
-    /// Puts a call into the line that has looked for room in a round; 0 if it has not looked.
-    pub fn push(self: &Arc<Self>, clock: NodeClock, call: WaitingCall, looked_in: u64, request: &str) -> QueueEntry {
+    /// Adds a call that last checked for capacity in the round `checked_round`, 0 if it has not checked.
+    pub fn push(
+        self: &Arc<Self>,
+        clock: NodeClock,
+        call: WaitingCall,
+        checked_round: u64,
+        request: &str,
+    ) -> QueueEntry {
         let now = clock.now();
         let wake = Arc::new(Notify::new());
-        let entry = QueuedCall { call: call.clone(), wake: wake.clone(), looked_in, is_asleep: false };
+        let queued = QueuedCall { call: call.clone(), wake: wake.clone(), checked_round, is_unresponsive: false };
         let mut state = self.state();
-        let ahead = state.line.len() + usize::from(state.called.is_some());
+        let ahead = state.queue.len() + usize::from(state.selected.is_some());
         state.order.note_joined(now, &call);
-        let place = state.line.push(call.latest_start, call.expires, entry);
+        let id = state.queue.push(call.latest_start, call.expires, queued);
         self.waits.note_joined(call.priority, call.joined);
-        state.call_up(now);
+        state.select_next(now);
         drop(state);
         metrics::gauge!("streamfold_waiting_calls").increment(1.0);
-        QueueEntry { line: self.clone(), clock, place, wake, call, ahead, request: request.to_owned(), outcome: None }
+        QueueEntry { queue: self.clone(), clock, id, wake, call, ahead, request: request.to_owned(), outcome: None }
     }
 
-    /// Lets waiting calls look for room if none has for a while.
-    fn look_again(&self, now: Moment) {
+    /// Lets waiting calls check for capacity if none has for [`RECHECK_INTERVAL`].
+    fn recheck(&self, now: Moment) {
         let mut state = self.state();
-        if now.since(state.round_began) >= LOOK_AGAIN {
+        if now.since(state.round_started) >= RECHECK_INTERVAL {
             state.note_capacity(now);
         }
     }
 }
 
-/// How a call's wait ended.
+/// How the wait of a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum WaitOutcome {
     Sent,
     Expired,
 }
 
-/// A call's place in the line, which is given up when this is dropped.
+/// The queue entry of a call. Dropping it removes the call from the queue.
 pub struct QueueEntry {
-    line: Arc<CallQueue>,
+    queue: Arc<CallQueue>,
     clock: NodeClock,
-    place: WaitId,
+    id: WaitId,
     wake: Arc<Notify>,
     call: WaitingCall,
     ahead: usize,
@@ -208,10 +217,10 @@
 }
 
 impl QueueEntry {
-    /// Waits until it is called up; `None` if it expired before.
+    /// Waits until the call is selected; `None` if it expired before.
     pub async fn wait(mut self) -> Option<Self> {
         loop {
-            if self.note_awake() {
+            if self.note_active() {
                 return Some(self);
             }
             let now = self.clock.now();
@@ -219,57 +228,57 @@
                 self.outcome = Some(WaitOutcome::Expired);
                 return None;
             }
-            let until = now.plus(LOOK_AGAIN).min(self.call.expires);
+            let until = now.plus(RECHECK_INTERVAL).min(self.call.expires);
             tokio::select! {
                 () = self.wake.notified() => {}
-                () = tokio::time::sleep_until(self.clock.instant(until)) => self.line.look_again(self.clock.now()),
+                () = tokio::time::sleep_until(self.clock.instant(until)) => self.queue.recheck(self.clock.now()),
             }
         }
     }
 
-    /// Notes that its request does something, and tells whether it is called up.
-    fn note_awake(&self) -> bool {
-        let mut state = self.line.state();
-        if let Some(entry) = state.line.get_mut(self.place) {
-            entry.is_asleep = false;
+    /// Records that the call's request is active and returns whether the call is selected.
+    fn note_active(&self) -> bool {
+        let mut state = self.queue.state();
+        if let Some(queued) = state.queue.get_mut(self.id) {
+            queued.is_unresponsive = false;
         }
         drop(state);
         self.is_selected()
     }
 
-    /// Whether it is called up; one that took too long is not any more.
+    /// Whether the call is selected. A call that took too long after its selection no longer is.
     pub fn is_selected(&self) -> bool {
-        let state = self.line.state();
-        state.called.as_ref().is_some_and(|(work, _)| work.id == self.place)
+        let state = self.queue.state();
+        state.selected.as_ref().is_some_and(|(work, _)| work.id == self.id)
     }
 
-    /// How long its call has waited.
+    /// How long the call has waited.
     pub fn waited(&self) -> Duration {
         self.clock.now().since(self.call.joined)
     }
 
-    /// Notes that its call is made, and calls up the next one.
+    /// Records that the call was sent and selects the next one.
     pub fn note_sent(mut self) {
         let now = self.clock.now();
         self.outcome = Some(WaitOutcome::Sent);
-        let mut state = self.line.state();
-        // It may have been called up for so long that another one is by now.
-        state.take_called(self.place);
-        state.line.remove(self.place);
+        let mut state = self.queue.state();
+        // If the call acted too late, another one may be selected by now.
+        state.take_selected(self.id);
+        state.queue.remove(self.id);
         state.order.note_sent(now, &self.call);
-        state.call_up(now);
+        state.select_next(now);
     }
 
-    /// Goes back to its place, since there is no server that it can use; `has_capacity` tells whether there may be one for
-    /// another call.
+    /// Returns the call to its queue position, since it found no usable server. `has_capacity` tells whether there may
+    /// be one for another call.
     pub fn requeue(&self, has_capacity: bool) {
-        let mut state = self.line.state();
-        let Some(work) = state.take_called(self.place) else { return };
-        let is_room_new = work.item.looked_in < state.round;
-        state.line.requeue(work);
-        state.passed += 1;
-        if has_capacity || is_room_new {
-            state.call_up(self.clock.now());
+        let mut state = self.queue.state();
+        let Some(work) = state.take_selected(self.id) else { return };
+        let is_capacity_new = work.item.checked_round < state.round;
+        state.queue.requeue(work);
+        state.skipped += 1;
+        if has_capacity || is_capacity_new {
+            state.select_next(self.clock.now());
         }
     }
 
@@ -282,7 +291,7 @@
         tracing::info!(
             event = "call_waited",
             request = self.request,
-            service = %self.line.service,
+            service = %self.queue.service,
             priority = %self.call.priority,
             team = self.call.team.as_ref().and_then(|share| share.team.as_ref()).map(TeamName::as_str),
             waited_ms = waited.as_millis() as u64,
@@ -296,15 +305,15 @@
     fn drop(&mut self) {
         let now = self.clock.now();
         let waited = now.since(self.call.joined);
-        let mut state = self.line.state();
-        let was_called = state.take_called(self.place).is_some();
-        state.line.remove(self.place);
-        if was_called {
-            state.call_up(now);
+        let mut state = self.queue.state();
+        let was_selected = state.take_selected(self.id).is_some();
+        state.queue.remove(self.id);
+        if was_selected {
+            state.select_next(now);
         }
         drop(state);
-        self.line.waits.note_left(self.call.priority, self.call.joined);
-        self.line.waits.note(now, self.call.priority, waited);
+        self.queue.waits.note_left(self.call.priority, self.call.joined);
+        self.queue.waits.note(now, self.call.priority, waited);
         metrics::gauge!("streamfold_waiting_calls").decrement(1.0);
         let label = priority_label(self.call.priority);
         metrics::histogram!("streamfold_call_wait_seconds", "priority" => label).record(waited.as_secs_f64());
--- a/crates/router/src/contention.rs
+++ b/crates/router/src/contention.rs
@@ -1,4 +1,5 @@
-//! Which services calls wait for at this node: those that requests of different rank compete for.
+//! Decides for which services calls are queued on this node: those for which requests of different priorities or teams
+//! compete.
 
 use std::collections::{HashMap, HashSet};
 
@@ -8,36 +9,36 @@
 
 use crate::cluster_place::NodeContext;
 
-/// How calls that wait for a service are ordered.
+/// How the queued calls of a service are ordered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueRule {
-    /// Whether teams take turns among calls of one priority.
+    /// Whether calls of one priority are scheduled fairly between teams.
     pub by_team: bool,
 }
 
 impl QueueRule {
-    /// The order of a new line.
+    /// Creates the call order of a new queue.
     pub fn order(self) -> Box<dyn CallOrder> {
         let order = PriorityOrder::default();
         Box::new(if self.by_team { order.with_fair_queueing() } else { order })
     }
 }
 
-/// The services whose calls wait, by the settings and the routes in force: those that requests of different priority
-/// use, and where teams have limits all that take keys.
+/// The services whose calls are queued under the current settings and routes: those used by requests of different
+/// priorities and, if teams have limits, all services whose routes require API keys.
 pub fn find_contended(
     table: &RouteTable,
     mixed: &HashSet<ServiceName>,
-    place: &NodeContext,
+    context: &NodeContext,
 ) -> HashMap<ServiceName, QueueRule> {
-    if !place.mechanisms.has(Mechanism::CallQueues) {
+    if !context.mechanisms.has(Mechanism::CallQueues) {
         return HashMap::new();
     }
-    let by_team = place.scheduling.by_team
-        && place.mechanisms.has(Mechanism::TeamTurns)
+    let by_team = context.scheduling.by_team
+        && context.mechanisms.has(Mechanism::TeamTurns)
         && table.teams().is_some_and(TeamDirectory::has_limits);
     let keyed =
         table.routes().iter().filter(|route| by_team && !route.is_auth_exempt).flat_map(|route| route.services());
-    let by_priority = mixed.iter().filter(|_| place.scheduling.by_priority);
+    let by_priority = mixed.iter().filter(|_| context.scheduling.by_priority);
     keyed.chain(by_priority).map(|service| (service.clone(), QueueRule { by_team })).collect()
 }
--- a/crates/router/src/server_choice.rs
+++ b/crates/router/src/server_choice.rs
@@ -1,4 +1,4 @@
-//! Whether a call goes to a server now or waits for one at this node.
+//! Decides whether a call is sent to a server now or waits in this node's queue for one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,81 +13,82 @@
 use crate::cluster_view::Service;
 use crate::server::Server;
 
-/// Tells a line, when it is dropped with its call, that there may be room.
+/// Notifies a queue of free capacity when it is dropped together with its call.
 pub(crate) struct CapacityNotice {
-    pub(crate) line: Arc<CallQueue>,
+    pub(crate) queue: Arc<CallQueue>,
     pub(crate) clock: NodeClock,
 }
 
 impl Drop for CapacityNotice {
     fn drop(&mut self) {
-        self.line.note_capacity(self.clock.now());
+        self.queue.note_capacity(self.clock.now());
     }
 }
 
 /// Where a call goes.
 pub(crate) enum ServerChoice {
-    /// To a server now; it gives up the place it had.
+    /// To a server now. The call gives up the queue entry that it had.
     Now(Arc<Server>, Option<QueueEntry>),
-    /// Nowhere yet: it waits in a place, or is a second call, which does not wait.
+    /// Nowhere yet: the call waits in the queue, or is a hedge, which does not wait.
     Wait(Option<QueueEntry>),
 }
 
 impl AttemptContext {
-    /// The server to try next, or the place in which the call waits for one; `None` where no server is left. A call
-    /// that was called up has a place already.
+    /// Chooses the server to try next or queues the call; `None` if no server is left. A call that was selected from
+    /// the queue already has an entry.
     pub(crate) fn choose_server(
         &self,
         attempts: &ServiceAttempts,
         service: &Service,
-        place: Option<QueueEntry>,
+        entry: Option<QueueEntry>,
     ) -> Option<ServerChoice> {
         let candidates = self.candidates(attempts, service);
         let Some(cheapest) = self.find_cheapest(candidates.iter()) else {
-            return self.wait_for_any(attempts, place);
+            return self.keep_waiting(attempts, entry);
         };
-        let Some(line) = service.line() else { return Some(ServerChoice::Now(cheapest, None)) };
-        if place.as_ref().is_some_and(|place| !place.is_selected()) {
-            return Some(ServerChoice::Wait(place));
+        let Some(queue) = service.line() else { return Some(ServerChoice::Now(cheapest, None)) };
+        if entry.as_ref().is_some_and(|entry| !entry.is_selected()) {
+            return Some(ServerChoice::Wait(entry));
         }
-        // Read before room is looked for, so that what is freed meanwhile is not missed.
-        let round = line.round();
-        let waited = place.as_ref().map_or(Duration::ZERO, QueueEntry::waited);
-        let must_wait = place.is_none() && line.is_busy();
-        let roomy = if must_wait { None } else { self.choose_roomy(line, &candidates, cheapest, waited) };
-        if let Some(server) = roomy {
-            if place.is_none() {
-                line.note_immediate(self.now(), self.priority);
+        // Read before the check for capacity, so that a server that is freed in between is not missed.
+        let round = queue.round();
+        let waited = entry.as_ref().map_or(Duration::ZERO, QueueEntry::waited);
+        let must_wait = entry.is_none() && queue.is_busy();
+        let available = if must_wait { None } else { self.choose_available(queue, &candidates, cheapest, waited) };
+        if let Some(server) = available {
+            if entry.is_none() {
+                queue.note_immediate(self.now(), self.priority);
             }
-            return Some(ServerChoice::Now(server, place));
+            return Some(ServerChoice::Now(server, entry));
         }
-        if let Some(place) = place {
-            place.requeue(service.has_capacity(self.now()));
-            return Some(ServerChoice::Wait(Some(place)));
+        if let Some(entry) = entry {
+            entry.requeue(service.has_capacity(self.now()));
+            return Some(ServerChoice::Wait(Some(entry)));
         }
-        // A second call would wait behind first ones.
+        // A hedge would wait behind the first calls of other requests.
         if attempts.is_calling() || self.asker == RequestAsker::Hedger {
             return Some(ServerChoice::Wait(None));
         }
-        let looked_in = if must_wait { 0 } else { round };
+        let checked_round = if must_wait { 0 } else { round };
         let call = self.waiting_call(&candidates);
-        Some(ServerChoice::Wait(Some(line.push(self.router.clock, call, looked_in, self.request.id_text()))))
+        Some(ServerChoice::Wait(Some(queue.push(self.router.clock, call, checked_round, self.request.id_text()))))
     }
 
-    /// Lets a call wait on that was called up at a moment without any usable server: the only one may be leaving, and
-    /// the next one not be known yet.
-    fn wait_for_any(&self, attempts: &ServiceAttempts, place: Option<QueueEntry>) -> Option<ServerChoice> {
-        let place = place.filter(|_| attempts.tried.is_empty() && self.now() < self.retry_until)?;
-        place.requeue(false);
-        Some(ServerChoice::Wait(Some(place)))
+    /// Returns a selected call to the queue if no server is usable at the moment. The only server may be draining and
+    /// its successor not known yet.
+    fn keep_waiting(&self, attempts: &ServiceAttempts, entry: Option<QueueEntry>) -> Option<ServerChoice> {
+        let entry = entry.filter(|_| attempts.tried.is_empty() && self.now() < self.retry_until)?;
+        entry.requeue(false);
+        Some(ServerChoice::Wait(Some(entry)))
     }
 
-    /// The cheapest server with room, unless waiting for the cheapest of all is cheaper still: one that is far, slow
-    /// or resting is no better for being free. The longer the line, and the longer the call has waited, the farther it
-    /// may go: that leaves what frees here to those behind it.
-    fn choose_roomy(
+    /// The cheapest server with capacity, unless waiting for the cheapest server of all costs less. A distant, slow or
+    /// backing-off server is not better just because it is free. The longer the queue is and the longer the call has
+    /// waited, the more expensive the server may be, which leaves the slots that are freed nearby to the calls behind
+    /// it.
+    fn choose_available(
         &self,
-        line: &CallQueue,
+        queue: &CallQueue,
         candidates: &[Arc<Server>],
         cheapest: Arc<Server>,
         waited: Duration,
@@ -96,10 +97,10 @@
         if cheapest.has_capacity(now) {
             return Some(cheapest);
         }
-        let roomy = self.find_cheapest(candidates.iter().filter(|server| server.has_capacity(now)))?;
-        let turns = line.len() as f64 / f64::from(cheapest.slots().max(1));
-        let waiting = self.typical(&cheapest).mul_f64(turns).max(waited).as_micros() as f64;
-        (self.cost(&roomy) <= self.cost(&cheapest) + waiting).then_some(roomy)
+        let available = self.find_cheapest(candidates.iter().filter(|server| server.has_capacity(now)))?;
+        let rounds_ahead = queue.len() as f64 / f64::from(cheapest.slots().max(1));
+        let waiting_us = self.typical(&cheapest).mul_f64(rounds_ahead).max(waited).as_micros() as f64;
+        (self.cost(&available) <= self.cost(&cheapest) + waiting_us).then_some(available)
     }
 
     fn waiting_call(&self, candidates: &[Arc<Server>]) -> WaitingCall {
@@ -118,17 +119,17 @@
         }
     }
 
-    /// Goes on with a call that has waited: it is called up, or without a place given up.
+    /// Resumes a call that has waited. With an entry it was selected and is started; without one it has expired.
     pub(crate) fn resume(
         &self,
         position: usize,
         attempts: &mut ServiceAttempts,
         calls: &PendingCalls,
-        place: Option<QueueEntry>,
+        entry: Option<QueueEntry>,
     ) {
         attempts.is_waiting = false;
-        let Some(place) = place else { return };
-        attempts.place = Some(place);
+        let Some(entry) = entry else { return };
+        attempts.place = Some(entry);
         let Err(stop) = self.start(position, attempts, calls) else { return };
         if !matches!(stop, AttemptStop::Waiting | AttemptStop::Canary) {
             self.log_not_made(attempts, stop);
