--- a/crates/router/src/call_latencies.rs
+++ b/crates/router/src/call_latencies.rs
@@ -1,4 +1,4 @@
-//! Latencies of one route's calls, by how far the server is.
+//! Latencies of the calls of one route by distance of the server.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -6,51 +6,51 @@
 use streamfold_policy::LatencyHistogram;
 use streamfold_policy::replica::Distance;
 
-/// Below so many samples the route's target latency tells more.
+/// Below this number of samples the route's target latency is a better estimate than the histogram.
 const MIN_SAMPLES: u32 = 20;
-/// What a call of a kind usually takes.
+/// The quantile that is the usual duration of a call.
 const TYPICAL_QUANTILE: f64 = 0.5;
-/// A call that takes longer than this quantile of its kind is overdue.
-const PATIENCE_QUANTILE: f64 = 0.97;
-/// Bounds on the patience as shares of the target latency: a second try must still be able to
-/// come back in time, and is wasted where the first would have been in time as well.
-const MIN_PATIENCE_SHARE: f64 = 0.15;
-const MAX_PATIENCE_SHARE: f64 = 0.45;
-/// What a call is taken to need while nothing is measured, as shares of the target latency.
+/// A call that takes longer than this quantile is overdue and may be hedged.
+const HEDGE_QUANTILE: f64 = 0.97;
+/// Bounds on the hedge delay as shares of the target latency. A hedge must still be able to finish in time, and is
+/// wasted if the first call would have finished in time too.
+const MIN_HEDGE_SHARE: f64 = 0.15;
+const MAX_HEDGE_SHARE: f64 = 0.45;
+/// Assumed duration and hedge delay as shares of the target latency while there are too few samples.
 const ASSUMED_TYPICAL_SHARE: f64 = 0.15;
-const ASSUMED_PATIENCE_SHARE: f64 = 0.3;
+const ASSUMED_HEDGE_SHARE: f64 = 0.3;
 
-/// Latencies of a route's calls to servers.
+/// Latencies of the calls of one route to servers.
 #[derive(Debug, Default)]
 pub struct CallLatencies {
-    tracks: Mutex<[LatencyHistogram; 3]>,
+    histograms: Mutex<[LatencyHistogram; 3]>,
 }
 
 impl CallLatencies {
-    fn tracks(&self) -> MutexGuard<'_, [LatencyHistogram; 3]> {
-        self.tracks.lock().unwrap_or_else(PoisonError::into_inner)
+    fn histograms(&self) -> MutexGuard<'_, [LatencyHistogram; 3]> {
+        self.histograms.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds the latency of a call that was answered.
+    /// Adds the latency of an answered call.
     pub fn add(&self, distance: Distance, latency: Duration) {
-        self.tracks()[distance as usize].add(latency);
+        self.histograms()[distance as usize].add(latency);
     }
 
     fn quantile(&self, distance: Distance, quantile: f64) -> Option<Duration> {
-        let tracks = self.tracks();
-        let track = &tracks[distance as usize];
-        track.quantile(quantile).filter(|_| track.samples() >= MIN_SAMPLES)
+        let histograms = self.histograms();
+        let histogram = &histograms[distance as usize];
+        histogram.quantile(quantile).filter(|_| histogram.samples() >= MIN_SAMPLES)
     }
 
-    /// The time a call usually takes.
+    /// The usual duration of a call.
     pub fn typical(&self, distance: Distance, target: Duration) -> Duration {
         self.quantile(distance, TYPICAL_QUANTILE).unwrap_or(target.mul_f64(ASSUMED_TYPICAL_SHARE))
     }
 
-    /// The time after which a call is overdue.
+    /// The time after which a call is overdue and may be hedged.
     pub fn hedge_delay(&self, distance: Distance, target: Duration) -> Duration {
-        let measured = self.quantile(distance, PATIENCE_QUANTILE);
-        let patience = measured.unwrap_or(target.mul_f64(ASSUMED_PATIENCE_SHARE));
-        patience.clamp(target.mul_f64(MIN_PATIENCE_SHARE), target.mul_f64(MAX_PATIENCE_SHARE))
+        let measured = self.quantile(distance, HEDGE_QUANTILE);
+        let delay = measured.unwrap_or(target.mul_f64(ASSUMED_HEDGE_SHARE));
+        delay.clamp(target.mul_f64(MIN_HEDGE_SHARE), target.mul_f64(MAX_HEDGE_SHARE))
     }
 }
--- a/crates/router/src/cluster_place.rs
+++ b/crates/router/src/cluster_place.rs
@@ -1,4 +1,4 @@
-//! Where a node stands among the failure domains, and by what it judges servers.
+//! The position of a node among the failure domains and the rules by which it judges servers.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,32 +9,32 @@
 
 use crate::settings::{ColdCallSettings, SchedulingSettings};
 
-/// Where a node stands among failure domains.
+/// The position of a node among the failure domains and the settings that its view of the cluster depends on.
 pub struct NodeContext {
-    /// This node.
+    /// The name of this node.
     pub node: NodeId,
     /// Its failure domain.
     pub domain: FailureDomain,
     /// The region of each failure domain.
     pub regions: HashMap<FailureDomain, RegionName>,
-    /// How long a node that is gone may have spent of what all nodes share: the window in which
-    /// extra calls are counted.
+    /// The window in which extra calls are counted. What a removed node spent of the shared budget counts for this
+    /// long.
     pub extra_call_window: Duration,
-    /// The bound on calls to cold servers, if there is one.
+    /// The limit on calls to cold servers, if there is one.
     pub cold_calls: Option<ColdCallSettings>,
-    /// Decisions where callers compete for room.
+    /// Which scheduling decisions are made when callers compete for capacity.
     pub scheduling: SchedulingSettings,
     /// The mechanisms by which servers are judged.
     pub mechanisms: MechanismSet,
 }
 
 impl NodeContext {
-    /// The region of a failure domain, if the settings tell.
+    /// The region of a failure domain, if the settings contain it.
     pub fn region(&self, domain: &FailureDomain) -> Option<&RegionName> {
         self.regions.get(domain)
     }
 
-    /// How far away another failure domain is; one whose region is not known counts as far.
+    /// The distance of another failure domain. If its region is not known, it counts as far.
     pub fn distance(&self, domain: &FailureDomain) -> Distance {
         if *domain == self.domain {
             return Distance::Domain;
--- a/crates/router/src/connection.rs
+++ b/crates/router/src/connection.rs
@@ -1,5 +1,5 @@
-//! One HTTP/1.1 connection to a server. It has no task of its own: whoever uses it drives
-//! it, which saves a switch of tasks for each piece of an answer.
+//! One HTTP/1.1 connection to a server. It has no task of its own: its user polls it, which saves a task switch for
+//! each piece of a response.
 
 use std::future::{Future, poll_fn};
 use std::net::SocketAddr;
@@ -28,31 +28,30 @@
     /// Connects to a server.
     ///
     /// # Errors
-    /// The connection is refused, cannot be set up, or is not there in time.
-    pub async fn open(address: SocketAddr, within: Duration) -> std::io::Result<Self> {
-        let connect = tokio::time::timeout(within, TcpStream::connect(address));
+    /// The connection is refused, cannot be set up, or is not established within `timeout`.
+    pub async fn open(address: SocketAddr, timeout: Duration) -> std::io::Result<Self> {
+        let connect = tokio::time::timeout(timeout, TcpStream::connect(address));
         let stream = connect.await.map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
         set_tcp_options(&stream)?;
-        // A call that is given up resets its connection: bytes that a cut holds back would
-        // otherwise reach the server long after, as one more request.
+        // A cancelled call resets its connection. Otherwise bytes that a network partition holds back would
+        // reach the server much later as another request.
         SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
         let handshake = http1::Builder::new().handshake(TokioIo::new(stream));
         let (sender, driver) = handshake.await.map_err(std::io::Error::other)?;
         Ok(Self { sender, driver })
     }
 
-    /// Whether another request may be sent: the server has neither closed the connection nor
-    /// sent anything more on it.
+    /// Whether another request may be sent: the server has neither closed the connection nor sent further data.
     pub async fn is_usable(&mut self) -> bool {
         let ended = poll_fn(|cx| Poll::Ready(Pin::new(&mut self.driver).poll(cx).is_ready())).await;
         !ended && self.sender.is_ready()
     }
 
-    /// Sends a request and reads the whole answer, at most `limit` bytes of body.
+    /// Sends a request and reads the whole response with a body of at most `limit` bytes.
     ///
     /// # Errors
-    /// `NotSent` if no byte of the request went out, `ConnectionLost` if the connection ended before
-    /// any of the answer, else `Lost`.
+    /// `NotSent` if no byte of the request was sent, `ConnectionLost` if the connection ended before any byte of the
+    /// response arrived, `Lost` otherwise.
     pub async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -75,7 +74,7 @@
     }
 }
 
-/// Moves the connection on, then looks whether the exchange has ended.
+/// Polls the connection and then the exchange.
 fn poll_both<D: Future + Unpin, E: Future>(
     driver: &mut Option<&mut D>,
     exchange: Pin<&mut E>,
@@ -84,7 +83,7 @@
     if let Some(running) = driver
         && Pin::new(&mut **running).poll(cx).is_ready()
     {
-        // Its end reaches the exchange through their channel.
+        // The exchange learns of the end of the connection through their shared channel.
         *driver = None;
     }
     exchange.poll(cx)
--- a/crates/router/src/connection_pool.rs
+++ b/crates/router/src/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The connections to one server: at rest, in use, and how many there may be.
+//! The pool of connections to one server, idle and in use, with a limit on their number.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -10,42 +10,42 @@
 
 use crate::connection::ServerConnection;
 
-/// How long a connection rests at most where the server tells no time.
-const DEFAULT_REST: Duration = Duration::from_secs(4);
-/// A connection is given up so long before the server would close it.
-const REST_MARGIN: Duration = Duration::from_millis(500);
-/// Connections beyond the first rest only shortly: when machines lose power, servers hold the
-/// old connections for a while beside the new ones, and refuse those over their limit.
-const SPARE_REST: Duration = Duration::from_millis(400);
-/// A request that must not run twice takes no connection that has rested longer: the server
-/// may be closing it at this moment.
-const FRESH_REST: Duration = Duration::from_millis(500);
-
-/// A connection at rest.
-struct RestingConnection {
+/// Maximum idle time of a connection if the server announces no keep-alive timeout.
+const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(4);
+/// Idle connections are closed this long before the server would close them.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
+/// Idle time of connections beyond the first. When machines that run nodes lose power, servers hold the old
+/// connections open beside the new ones for a while and refuse connections over their limit.
+const SPARE_IDLE_TIME: Duration = Duration::from_millis(400);
+/// A request that must not run twice uses no connection that has been idle for longer, since the server may be closing
+/// it at this moment.
+const MAX_IDLE_IF_ONCE: Duration = Duration::from_millis(500);
+
+/// An idle connection.
+struct IdleConnection {
     leased: LeasedConnection,
     since: Moment,
     until: Moment,
 }
 
-/// Connections to one server, at rest or in use.
+/// Number of connections to one server, idle or in use.
 #[derive(Default)]
 struct ConnectionCount {
     open: AtomicU32,
-    /// Connections this node may have to it.
-    share: AtomicU32,
+    /// Number of connections that this node may have to the server.
+    limit: AtomicU32,
     freed: Notify,
 }
 
-/// Counts one connection for as long as it lives.
+/// Counts one connection until it is dropped.
 struct ConnectionPermit(Arc<ConnectionCount>);
 
 impl ConnectionPermit {
-    /// Counts one more connection, unless the share is used up.
+    /// Counts one more connection unless the limit is reached.
     fn take(count: &Arc<ConnectionCount>) -> Option<Self> {
-        let share = count.share.load(Ordering::Relaxed);
-        let more = |open| (open < share).then_some(open + 1);
-        let counted = count.open.fetch_update(Ordering::Relaxed, Ordering::Relaxed, more);
+        let limit = count.limit.load(Ordering::Relaxed);
+        let add_one = |open| (open < limit).then_some(open + 1);
+        let counted = count.open.fetch_update(Ordering::Relaxed, Ordering::Relaxed, add_one);
         counted.ok().map(|_| Self(count.clone()))
     }
 }
@@ -67,82 +67,83 @@
 /// The connections to one server.
 #[derive(Default)]
 pub struct ConnectionPool {
-    resting: Mutex<Vec<RestingConnection>>,
+    idle: Mutex<Vec<IdleConnection>>,
     count: Arc<ConnectionCount>,
 }
 
 impl ConnectionPool {
-    fn resting(&self) -> MutexGuard<'_, Vec<RestingConnection>> {
-        self.resting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn idle(&self) -> MutexGuard<'_, Vec<IdleConnection>> {
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets how many connections there may be.
-    pub fn set_connection_limit(&self, share: u32) {
-        self.count.share.store(share, Ordering::Relaxed);
+    /// Sets the maximum number of connections.
+    pub fn set_connection_limit(&self, limit: u32) {
+        self.count.limit.store(limit, Ordering::Relaxed);
     }
 
-    /// How many connections there may be, at least one.
-    pub fn share(&self) -> u32 {
-        self.count.share.load(Ordering::Relaxed).max(1)
+    /// The maximum number of connections, at least one.
+    pub fn connection_limit(&self) -> u32 {
+        self.count.limit.load(Ordering::Relaxed).max(1)
     }
 
-    /// Takes a resting connection that the server has not closed; one that rested long is
-    /// passed over where `is_once` is set.
-    async fn take_resting(&self, now: Moment, is_once: bool) -> Option<LeasedConnection> {
+    /// Takes an idle connection that the server has not closed. If `is_once` is set, connections that have been idle
+    /// for more than [`MAX_IDLE_IF_ONCE`] are closed.
+    async fn take_idle(&self, now: Moment, is_once: bool) -> Option<LeasedConnection> {
         loop {
-            let resting = self.resting().pop()?;
-            let mut leased = resting.leased;
-            let is_stale = is_once && now.since(resting.since) > FRESH_REST;
-            if now < resting.until && !is_stale && leased.connection.is_usable().await {
+            let idle = self.idle().pop()?;
+            let mut leased = idle.leased;
+            let is_stale = is_once && now.since(idle.since) > MAX_IDLE_IF_ONCE;
+            if now < idle.until && !is_stale && leased.connection.is_usable().await {
                 return Some(leased);
             }
         }
     }
 
-    /// A connection to the server: one at rest, a new one, or the next one that is freed.
+    /// Returns an idle connection, a new one, or the next one that is freed.
     ///
     /// # Errors
-    /// It cannot be connected to in time.
+    /// No connection is available within `timeout`, or the server cannot be connected to.
     pub async fn lease(
         &self,
         address: SocketAddr,
         now: Moment,
         is_once: bool,
-        within: Duration,
+        timeout: Duration,
     ) -> std::io::Result<LeasedConnection> {
         loop {
-            if let Some(leased) = self.take_resting(now, is_once).await {
+            if let Some(leased) = self.take_idle(now, is_once).await {
                 return Ok(leased);
             }
             if let Some(permit) = ConnectionPermit::take(&self.count) {
-                let connection = ServerConnection::open(address, within).await?;
+                let connection = ServerConnection::open(address, timeout).await?;
                 return Ok(LeasedConnection { connection, _permit: permit });
             }
-            let freed = tokio::time::timeout(within, self.count.freed.notified()).await;
+            let freed = tokio::time::timeout(timeout, self.count.freed.notified()).await;
             freed.map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))?;
         }
     }
 
-    /// Takes a connection back for the next request, if it can carry one.
-    pub async fn put_back(&self, now: Moment, mut leased: LeasedConnection, told: Option<Duration>) {
+    /// Returns a connection to the pool if it can carry another request. `keep_alive` is the timeout that the server
+    /// announced.
+    pub async fn put_back(&self, now: Moment, mut leased: LeasedConnection, keep_alive: Option<Duration>) {
         if !leased.connection.is_usable().await {
             return;
         }
-        let rest = told.map_or(DEFAULT_REST, |told| told.saturating_sub(REST_MARGIN));
-        let mut resting = self.resting();
-        let rest = if resting.is_empty() { rest } else { rest.min(SPARE_REST) };
-        resting.push(RestingConnection { leased, since: now, until: now.plus(rest) });
-        drop(resting);
+        let idle_time = keep_alive.map_or(DEFAULT_IDLE_TIME, |keep_alive| keep_alive.saturating_sub(KEEP_ALIVE_MARGIN));
+        let mut idle = self.idle();
+        let idle_time = if idle.is_empty() { idle_time } else { idle_time.min(SPARE_IDLE_TIME) };
+        idle.push(IdleConnection { leased, since: now, until: now.plus(idle_time) });
+        drop(idle);
         self.count.freed.notify_one();
     }
 
-    /// Closes connections that have rested too long.
+    /// Closes connections whose idle time is over.
     pub fn sweep(&self, now: Moment) {
-        self.resting().retain(|resting| now < resting.until);
+        self.idle().retain(|idle| now < idle.until);
     }
 
-    /// Closes all connections at rest.
-    pub fn close_resting(&self) {
-        self.resting().clear();
+    /// Closes all idle connections.
+    pub fn close_idle(&self) {
+        self.idle().clear();
     }
 }
--- a/crates/router/src/domain.rs
+++ b/crates/router/src/domain.rs
@@ -1,5 +1,5 @@
-//! What a node knows of one failure domain: where it lies, whether it is evacuated, and whether it can
-//! be reached. Its servers and nodes share one of these.
+//! The state of one failure domain as seen by this node: its distance, whether it is evacuated and whether it is
+//! reachable. The servers and nodes of the domain share it.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,30 +12,31 @@
 
 use crate::cluster_place::NodeContext;
 
-/// A failure domain as a node sees it.
+/// A failure domain as seen by this node.
 pub struct DomainState {
     /// Its name.
     pub name: FailureDomain,
-    /// Its region, if the settings tell.
+    /// Its region, if the settings contain it.
     pub region: Option<RegionName>,
     /// How far away it is.
     pub distance: Distance,
     evacuated: AtomicBool,
     reach: Mutex<DomainReach>,
-    /// Whether silence there is counted: not in the own one, where each server counts for itself.
+    /// Whether overdue calls there are counted. Not so for the node's own failure domain, where each server is judged
+    /// by itself.
     is_watched: bool,
 }
 
 impl DomainState {
-    /// A failure domain of which nothing is known but its place.
-    pub fn new(name: &FailureDomain, place: &NodeContext) -> Self {
+    /// Creates the state of a failure domain of which only the name and the position are known.
+    pub fn new(name: &FailureDomain, context: &NodeContext) -> Self {
         Self {
             name: name.clone(),
-            region: place.region(name).cloned(),
-            distance: place.distance(name),
+            region: context.region(name).cloned(),
+            distance: context.distance(name),
             evacuated: AtomicBool::new(false),
             reach: Mutex::default(),
-            is_watched: *name != place.domain && place.mechanisms.has(Mechanism::UnreachableDomains),
+            is_watched: *name != context.domain && context.mechanisms.has(Mechanism::UnreachableDomains),
         }
     }
 
@@ -48,17 +49,17 @@
         self.evacuated.load(Ordering::Relaxed)
     }
 
-    /// Marks whether it is evacuated; whether it was before.
+    /// Sets whether it is evacuated and returns whether it was before.
     pub fn set_evacuated(&self, is_evacuated: bool) -> bool {
         self.evacuated.swap(is_evacuated, Ordering::Relaxed)
     }
 
-    /// Whether nothing there is believed to answer now.
+    /// Whether the failure domain counts as unreachable now.
     pub fn is_unreachable(&self, now: Moment) -> bool {
         self.is_watched && self.reach().is_unreachable(now)
     }
 
-    /// Notes that anything was heard from there.
+    /// Records a response from the failure domain.
     pub fn note_contact(&self, now: Moment) {
         if !self.is_watched {
             return;
@@ -70,22 +71,22 @@
         reach.note_contact(now);
     }
 
-    /// Notes that a node there was asked for a sign of life in vain.
+    /// Records that a liveness probe of a node there failed.
     pub fn note_probe_failure(&self, now: Moment) {
         self.reach().note_probe_failure(now);
     }
 
-    /// Whether anything was heard from there within a span.
+    /// Whether a response arrived from there within the last `span`.
     pub fn had_contact_within(&self, now: Moment, span: Duration) -> bool {
         self.reach().had_contact_within(now, span)
     }
 
-    /// Notes that a server or node there is overdue with a call that began at a moment.
+    /// Records that a call to the server or node `who` there, which began at `started`, is overdue.
     pub fn note_overdue(&self, now: Moment, started: Moment, who: &str) {
         self.note_overdue_in(now, started, who, SilenceContext::NoneUnreachable);
     }
 
-    /// The same, with what else is believed.
+    /// Like [`Self::note_overdue`], with the state of the other failure domains.
     pub fn note_overdue_in(&self, now: Moment, started: Moment, who: &str, context: SilenceContext) {
         if self.is_watched && self.reach().note_overdue(now, started, who, context) {
             metrics::counter!("streamfold_dark_failure_domains_total").increment(1);
--- a/crates/router/src/liveness_probe.rs
+++ b/crates/router/src/liveness_probe.rs
@@ -1,5 +1,5 @@
-//! Signs of life asked of other failure domains while one of them is taken for dark: it is used again as
-//! soon as it is back, and a node that is cut off from all of them knows so before its callers do.
+//! Liveness probes of the other failure domains while one of them counts as unreachable. The domain is used again as
+//! soon as it recovers, and a node that is partitioned from all other domains detects this before its callers do.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,26 +13,27 @@
 use crate::peers::PeerNode;
 use crate::router::Router;
 
-/// How often nodes are asked, and how long a sign may take: servers of a dark failure domain are used
-/// again so soon after it is back.
-const ASK_EVERY: Duration = Duration::from_millis(250);
-const SIGN_WITHIN: Duration = Duration::from_millis(300);
-/// Nodes of a dark failure domain that are asked at a time, and of one that may be cut off as well.
-const ASKED_IN_DARK: usize = 1;
-const ASKED_BESIDE: usize = 2;
+/// Interval and timeout of the probes. Servers of an unreachable failure domain are used again this soon after it
+/// recovers.
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Number of nodes that are probed at a time in an unreachable failure domain, and in one without recent contact, which
+/// may be unreachable too.
+const PROBED_IN_UNREACHABLE: usize = 1;
+const PROBED_BESIDE_UNREACHABLE: usize = 2;
 
-/// Asks until the node ends.
+/// Sends probes until the node ends.
 pub async fn run(router: Arc<Router>) {
     loop {
-        tokio::time::sleep(ASK_EVERY.mul_f64(rand::random_range(0.8..1.2))).await;
-        for peer in choose_asked(&router) {
-            tokio::spawn(ask_peer(router.clone(), peer));
+        tokio::time::sleep(PROBE_INTERVAL.mul_f64(rand::random_range(0.8..1.2))).await;
+        for peer in choose_probed(&router) {
+            tokio::spawn(probe_peer(router.clone(), peer));
         }
     }
 }
 
-/// The nodes to ask now; none while no failure domain is dark.
-fn choose_asked(router: &Router) -> Vec<Arc<PeerNode>> {
+/// The nodes to probe now; none while no failure domain is unreachable.
+fn choose_probed(router: &Router) -> Vec<Arc<PeerNode>> {
     let now = router.clock.now();
     let view = router.cluster.view();
     if !view.peers.iter().any(|peer| peer.domain.is_unreachable(now)) {
@@ -44,10 +45,10 @@
     }
     let choose = |mut peers: Vec<&Arc<PeerNode>>| {
         let domain = &peers[0].domain;
-        let count = match (domain.is_unreachable(now), domain.had_contact_within(now, ASK_EVERY)) {
-            (true, _) => ASKED_IN_DARK,
+        let count = match (domain.is_unreachable(now), domain.had_contact_within(now, PROBE_INTERVAL)) {
+            (true, _) => PROBED_IN_UNREACHABLE,
             (false, true) => 0,
-            (false, false) => ASKED_BESIDE,
+            (false, false) => PROBED_BESIDE_UNREACHABLE,
         };
         peers.sort_by_cached_key(|_| rand::random::<u32>());
         peers.into_iter().take(count).cloned().collect::<Vec<_>>()
@@ -55,14 +56,14 @@
     by_domain.into_values().flat_map(choose).collect()
 }
 
-async fn ask_peer(router: Arc<Router>, peer: Arc<PeerNode>) {
-    let asked = router.clock.now();
+async fn probe_peer(router: Arc<Router>, peer: Arc<PeerNode>) {
+    let started = router.clock.now();
     let request = KnowledgeRequest { version: router.cluster.version(), known: None, neighbours_of: None };
-    let told = peer.link.call::<_, KnowledgeReply>(PATH_KNOWLEDGE, &request, SIGN_WITHIN).await;
+    let reply = peer.link.call::<_, KnowledgeReply>(PATH_KNOWLEDGE, &request, PROBE_TIMEOUT).await;
     let now = router.clock.now();
-    match told {
+    match reply {
         Ok(_) => peer.domain.note_contact(now),
         Err(_) if peer.domain.is_unreachable(now) => peer.domain.note_probe_failure(now),
-        Err(_) => peer.domain.note_overdue_in(now, asked, peer.entry.node.as_str(), SilenceContext::OtherUnreachable),
+        Err(_) => peer.domain.note_overdue_in(now, started, peer.entry.node.as_str(), SilenceContext::OtherUnreachable),
     }
 }
--- a/crates/router/src/pace_report.rs
+++ b/crates/router/src/pace_report.rs
@@ -1,4 +1,4 @@
-//! Paces of servers that one node tells another with its replies to batches.
+//! Server paces that one node reports to another in its replies to batches.
 
 use std::time::Duration;
 
@@ -10,14 +10,16 @@
 use crate::cluster_view::{ClusterView, Service};
 use crate::server::Server;
 
-/// Paces told in a reply at most: bytes between regions are paid for.
-const MAX_TOLD: usize = 4;
-/// A pace is told if work takes so many times as long as usual: less makes no difference to whom to ask across regions.
-const FAR_FROM_USUAL: f64 = 3.0;
-/// An older measurement is not told: the asking node lets it fade, and it would count for little.
-const TOLD_FOR: Duration = Duration::from_secs(2);
+/// Maximum number of paces in a reply, since traffic between regions is charged for.
+const MAX_REPORTED: usize = 4;
+/// A pace is reported if work takes at least this many times as long as usual. A smaller slowdown does not change the
+/// choice of servers across regions.
+const MIN_SLOWDOWN: f64 = 3.0;
+/// Older measurements are not reported: the receiving node would decay them, so that they would count for little.
+const MAX_AGE: Duration = Duration::from_secs(2);
 
-/// Paces of servers near this node that are far slower than usual, among those of some services; the newest first.
+/// The paces of servers of the given services that are in this node's failure domain and far slower than usual, newest
+/// first.
 pub fn report_paces<'a>(
     now: Moment,
     view: &'a ClusterView,
@@ -25,39 +27,39 @@
 ) -> Vec<ServerPace> {
     let servers = services.filter_map(|name| view.services.get(name)).flat_map(Service::all);
     let near = servers.filter(|server| server.distance == Distance::Domain);
-    let mut told: Vec<ServerPace> = near.filter_map(|server| tell_pace(now, server)).collect();
-    told.sort_by_key(|pace| pace.age_us);
-    told.truncate(MAX_TOLD);
-    told
+    let mut reported: Vec<ServerPace> = near.filter_map(|server| report_pace(now, server)).collect();
+    reported.sort_by_key(|pace| pace.age_us);
+    reported.truncate(MAX_REPORTED);
+    reported
 }
 
-fn tell_pace(now: Moment, server: &Server) -> Option<ServerPace> {
+fn report_pace(now: Moment, server: &Server) -> Option<ServerPace> {
     let (pace, measured) = server.measured_pace(now)?;
     let age = now.since(measured);
-    let is_told = pace >= FAR_FROM_USUAL && age < TOLD_FOR;
+    let is_reported = pace >= MIN_SLOWDOWN && age < MAX_AGE;
     let make = || ServerPace { server: server.run(), thousandths: (pace * 1e3) as u32, age_us: age.as_micros() as u64 };
-    is_told.then(make)
+    is_reported.then(make)
 }
 
-/// Takes what a node told of servers of some services in its failure domain. What it tells of others, or of another run,
-/// is left out.
+/// Records the paces that a node reported for servers of the given services in its failure domain. Reports about other
+/// servers or other runs are ignored.
 pub fn record_paces<'a>(
     now: Moment,
     view: &'a ClusterView,
     domain: &FailureDomain,
     services: impl Iterator<Item = &'a ServiceName>,
-    told: &[ServerPace],
+    reported: &[ServerPace],
 ) {
-    if told.is_empty() {
+    if reported.is_empty() {
         return;
     }
     let servers = services.filter_map(|name| view.services.get(name)).flat_map(Service::all);
     let servers: Vec<_> = servers.filter(|server| server.domain == *domain).collect();
-    // More than a node tells is not taken either.
-    for pace in told.iter().take(MAX_TOLD) {
+    // Paces beyond the maximum of a reply are ignored too.
+    for pace in reported.iter().take(MAX_REPORTED) {
         let Some(server) = servers.iter().find(|server| server.run() == pace.server) else { continue };
-        let stretch = f64::from(pace.thousandths) / 1e3;
-        server.state().record_peer_pace(now, stretch, Duration::from_micros(pace.age_us));
+        let slowdown = f64::from(pace.thousandths) / 1e3;
+        server.state().record_peer_pace(now, slowdown, Duration::from_micros(pace.age_us));
         tracing::debug!(event = "pace_told", server = %server.id, thousandths = pace.thousandths, age_us = pace.age_us);
         metrics::counter!("streamfold_told_paces_total").increment(1);
     }
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -1,4 +1,4 @@
-//! One server: its entry, what is believed of it and the connections to it.
+//! One server: its entry, its observed state and the connections to it.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -19,25 +19,25 @@
 use crate::domain::DomainState;
 use crate::slow_periods::SlowPeriodTracker;
 
-/// What a server shares with others.
+/// State that a server shares with others.
 pub struct ServerShared {
     /// Its failure domain.
     pub domain: Arc<DomainState>,
     /// How long servers stay slow.
     pub slow_periods: Arc<SlowPeriodTracker>,
-    /// The mechanisms by which it is judged.
+    /// The mechanisms by which its state is judged.
     pub mechanisms: MechanismSet,
 }
 
-/// A run of a server process.
+/// One run of a server process.
 pub struct Server {
     /// Its name.
     pub id: ServerId,
-    /// Which run of it.
+    /// Which of its runs this is.
     pub start: ServerStart,
     /// Its service.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: FailureDomain,
@@ -48,33 +48,33 @@
     slots: u32,
     leaving: AtomicBool,
     doubtful: AtomicBool,
-    /// Calls a second that this node may make while it is cold.
-    cold_share: AtomicU32,
+    /// Calls per second that this node may send while the server is cold.
+    cold_quota: AtomicU32,
     cold_calls: Mutex<ColdCalls>,
     state: Mutex<ReplicaState>,
     work: Mutex<RecentWork>,
     crashed: AtomicBool,
-    /// When its process was last found to live on after a connection was lost, in microseconds.
+    /// Time of the last check that found the process alive after a connection was lost, in microseconds.
     alive_at: AtomicU64,
     pool: ConnectionPool,
 }
 
-/// Counts a call as work of a server for as long as it lives.
-pub struct WorkRecord<'a> {
+/// Counts a call as work of a server until it is dropped.
+pub struct WorkGuard<'a> {
     server: &'a Server,
     clock: NodeClock,
     suspect: CrashSuspect,
     is_answered: bool,
 }
 
-impl WorkRecord<'_> {
-    /// Notes that the server answered.
+impl WorkGuard<'_> {
+    /// Records that the server answered.
     pub fn note_answered(&mut self) {
         self.is_answered = true;
     }
 }
 
-impl Drop for WorkRecord<'_> {
+impl Drop for WorkGuard<'_> {
     fn drop(&mut self) {
         lock(&self.server.work).note_end(self.clock.now(), self.suspect, self.is_answered);
     }
@@ -85,7 +85,7 @@
 }
 
 impl Server {
-    /// A server that is not connected to yet.
+    /// Creates a server without connections.
     pub fn new(entry: &ServerEntry, shared: ServerShared, now: Moment) -> Arc<Self> {
         let ServerShared { domain, slow_periods, mechanisms } = shared;
         Arc::new(Self {
@@ -100,7 +100,7 @@
             slots: entry.slots,
             leaving: AtomicBool::new(entry.is_draining),
             doubtful: AtomicBool::new(false),
-            cold_share: AtomicU32::new(u32::MAX),
+            cold_quota: AtomicU32::new(u32::MAX),
             cold_calls: Mutex::default(),
             state: Mutex::new(ReplicaState::new(entry.slots, now.plus(entry.warmup)).with_mechanisms(mechanisms)),
             work: Mutex::default(),
@@ -110,43 +110,43 @@
         })
     }
 
-    /// Notes that a call goes out to it.
-    pub fn start_work(&self, clock: NodeClock, suspect: CrashSuspect) -> WorkRecord<'_> {
+    /// Records that a call is sent to the server.
+    pub fn start_work(&self, clock: NodeClock, suspect: CrashSuspect) -> WorkGuard<'_> {
         lock(&self.work).note_start(suspect);
-        WorkRecord { server: self, clock, suspect, is_answered: false }
+        WorkGuard { server: self, clock, suspect, is_answered: false }
     }
 
-    /// What it works on or has just worked on for this node.
+    /// Calls of this node that the server processes or has just processed.
     pub fn recent_work(&self, now: Moment) -> Vec<CrashSuspect> {
         lock(&self.work).suspects(now)
     }
 
-    /// Notes that its process is gone; whether that is news.
+    /// Records that the process is gone; true if that was not known.
     pub fn mark_crashed(&self) -> bool {
         !self.crashed.swap(true, Ordering::Relaxed)
     }
 
-    /// Whether its process was found to be gone.
+    /// Whether the process was found to be gone.
     pub fn is_crashed(&self) -> bool {
         self.crashed.load(Ordering::Relaxed)
     }
 
-    /// Notes that its process lives on though a connection was lost.
+    /// Records that the process is alive although a connection was lost.
     pub fn note_alive(&self, now: Moment) {
         self.alive_at.fetch_max(now.0, Ordering::Relaxed);
     }
 
-    /// Whether its process was found to live on after a moment.
+    /// Whether the process was found to be alive after `moment`.
     pub fn is_alive_since(&self, moment: Moment) -> bool {
         self.alive_at.load(Ordering::Relaxed) > moment.0
     }
 
-    /// Which run of which server it is.
+    /// The server's name and run.
     pub fn run(&self) -> ServerRun {
         ServerRun { id: self.id.clone(), start: self.start }
     }
 
-    /// Its entry as another node needs it.
+    /// The server's entry, as sent to other nodes.
     pub fn entry(&self, now: Moment) -> ServerEntry {
         ServerEntry {
             id: self.id.clone(),
@@ -160,46 +160,45 @@
         }
     }
 
-    /// Requests it works on at the same time.
+    /// Number of requests that the server processes concurrently.
     pub fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// What is believed of it.
+    /// The observed state of the server.
     pub fn state(&self) -> MutexGuard<'_, ReplicaState> {
         lock(&self.state)
     }
 
-    /// What a call there would cost, in microseconds, where `typical` is the time such a call usually
-    /// takes.
+    /// The expected cost of a call to the server, in microseconds. `typical` is the usual duration of such a call.
     pub fn cost(&self, now: Moment, typical: Duration) -> f64 {
-        self.state().cost(now, self.distance, typical, self.slow_periods.spell())
+        self.state().cost(now, self.distance, typical, self.slow_periods.mean())
     }
 
-    /// Whether it is no good server now: far slower than usual, or not expected to answer.
+    /// Whether the server is unhealthy now: far slower than usual, or not expected to answer.
     pub fn is_slow(&self, now: Moment) -> bool {
-        self.state().is_slow(now, self.slow_periods.spell())
+        self.state().is_slow(now, self.slow_periods.mean())
     }
 
-    /// The pace that calls of this node have shown, and when.
+    /// The pace measured by calls of this node, and when it was measured.
     pub fn measured_pace(&self, now: Moment) -> Option<(f64, Moment)> {
-        self.state().measured_pace(now, self.slow_periods.spell())
+        self.state().measured_pace(now, self.slow_periods.mean())
     }
 
-    /// Notes how a call ended that started at a moment.
+    /// Records the outcome of a call that started at `started`.
     pub fn note_end(&self, now: Moment, started: Moment, sample: CallSample) {
-        let followed = self.state().finish_measured(now, started, sample, self.slow_periods.spell());
-        if let Some(followed) = followed {
-            self.slow_periods.note(followed);
+        let period = self.state().finish_measured(now, started, sample, self.slow_periods.mean());
+        if let Some(period) = period {
+            self.slow_periods.note(period);
         }
     }
 
-    /// When a call that goes to it now is expected to be answered, where such calls usually take `typical`.
+    /// When a call that is sent now is expected to finish. `typical` is the usual duration of such a call.
     pub fn estimate_finish(&self, now: Moment, typical: Duration) -> ServerEstimate {
-        self.state().estimate_finish(now, typical, self.slow_periods.spell())
+        self.state().estimate_finish(now, typical, self.slow_periods.mean())
     }
 
-    /// Notes how many times as long as usual work takes there by its own word.
+    /// Records the pace that the server reported: how many times as long as usual its work takes.
     pub fn record_reported_pace(&self, now: Moment, pace: f64) {
         let sample = self.state().record_reported_pace(now, pace);
         if let Some(sample) = sample {
@@ -207,103 +206,105 @@
         }
     }
 
-    /// Whether it is leaving; it gets no new work.
+    /// Whether the server is draining. It then gets no new work.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// What keeps requests with these homes from it, if anything does.
-    pub fn find_exclusion(&self, now: Moment, homes: &AllowedRegions) -> Option<ServerExclusion> {
-        let standing = ServerConditions {
+    /// The reason why requests with these allowed regions are not sent to the server, if there is one.
+    pub fn find_exclusion(&self, now: Moment, allowed_regions: &AllowedRegions) -> Option<ServerExclusion> {
+        let conditions = ServerConditions {
             is_leaving: self.is_leaving(),
             is_evacuated: self.domain_state.is_evacuated(),
             is_unreachable: self.is_unreachable(now),
-            is_cold_limit_reached: self.is_cold_spent(now),
+            is_cold_limit_reached: self.is_cold_limit_reached(now),
             region: self.domain_state.region.as_ref(),
         };
-        find_exclusion(homes, standing)
+        find_exclusion(allowed_regions, conditions)
     }
 
-    /// Marks it as leaving and gives up the connections at rest. No run comes back from this: one that
-    /// starts again is another, whatever its id.
+    /// Marks the server as draining and closes its idle connections. This is final for the run: a server that starts
+    /// again is another run, even under the same id.
     pub fn mark_leaving(&self) {
         self.leaving.store(true, Ordering::Relaxed);
-        self.pool.close_resting();
+        self.pool.close_idle();
     }
 
-    /// Whether its entry is gone and it may be gone itself.
+    /// Whether the server's entry was removed. The server itself may be gone.
     pub fn is_doubtful(&self) -> bool {
         self.doubtful.load(Ordering::Relaxed)
     }
 
-    /// Marks whether its entry is gone.
+    /// Sets whether the server's entry was removed.
     pub fn set_doubtful(&self, is_doubtful: bool) {
         self.doubtful.store(is_doubtful, Ordering::Relaxed);
     }
 
-    /// Whether nothing in its failure domain is believed to answer now.
+    /// Whether its failure domain is unreachable now.
     pub fn is_unreachable(&self, now: Moment) -> bool {
         self.domain_state.is_unreachable(now)
     }
 
-    /// Notes that it was heard.
+    /// Records a response from the server.
     pub fn note_contact(&self, now: Moment) {
         self.domain_state.note_contact(now);
     }
 
-    /// Notes that a call to it that began at a moment is overdue.
+    /// Records for the failure domain that a call to the server, which started at `started`, is overdue.
     pub fn note_domain_overdue(&self, now: Moment, started: Moment) {
         self.domain_state.note_overdue(now, started, self.id.as_str());
     }
 
-    /// Sets how many calls a second this node may make while it is cold; `None` for any number.
-    pub fn set_cold_quota(&self, share: Option<u32>) {
-        self.cold_share.store(share.unwrap_or(u32::MAX), Ordering::Relaxed);
+    /// Sets the calls per second that this node may send while the server is cold; `None` for no limit.
+    pub fn set_cold_quota(&self, quota: Option<u32>) {
+        self.cold_quota.store(quota.unwrap_or(u32::MAX), Ordering::Relaxed);
     }
 
-    /// This node's part of the calls that it bears now, if it is cold and they are bounded.
-    fn cold_part(&self, now: Moment) -> Option<u32> {
-        let share = self.cold_share.load(Ordering::Relaxed);
-        (share != u32::MAX && !self.state().warmup_left(now).is_zero()).then_some(share)
+    /// This node's current limit on calls per second, if the server is cold and such a limit is set.
+    fn current_cold_quota(&self, now: Moment) -> Option<u32> {
+        let quota = self.cold_quota.load(Ordering::Relaxed);
+        (quota != u32::MAX && !self.state().warmup_left(now).is_zero()).then_some(quota)
     }
 
-    fn is_cold_spent(&self, now: Moment) -> bool {
-        self.cold_part(now).is_some_and(|part| !lock(&self.cold_calls).has_capacity(now, part))
+    fn is_cold_limit_reached(&self, now: Moment) -> bool {
+        self.current_cold_quota(now).is_some_and(|quota| !lock(&self.cold_calls).has_capacity(now, quota))
     }
 
-    /// Counts a call that is about to be sent; false if it is cold and this node may make none now.
+    /// Counts a call that is about to be sent. Returns false if the server is cold and this node may not send a call
+    /// now.
     pub fn admit_call(&self, now: Moment) -> bool {
-        self.cold_part(now).is_none_or(|part| lock(&self.cold_calls).take(now, part))
+        self.current_cold_quota(now).is_none_or(|quota| lock(&self.cold_calls).take(now, quota))
     }
 
-    /// Whether this node may have one more call out there, where calls wait at the node: one without a connection
-    /// would only wait in another place.
+    /// Whether this node may send one more call where calls are queued on the node. A call without a connection would
+    /// only wait in the connection pool instead.
     pub fn has_capacity(&self, now: Moment) -> bool {
         let state = self.state();
-        state.running() < self.pool.share() && state.has_capacity(now)
+        state.running() < self.pool.connection_limit() && state.has_capacity(now)
     }
 
-    /// Sets how many connections this node may have to it.
-    pub fn set_connection_limit(&self, share: u32) {
-        self.pool.set_connection_limit(share);
+    /// Sets the maximum number of connections of this node to the server.
+    pub fn set_connection_limit(&self, limit: u32) {
+        self.pool.set_connection_limit(limit);
     }
 
-    /// A connection to it: one at rest, a new one, or the next one that is freed.
+    /// Returns an idle connection, a new one, or the next one that is freed.
     ///
     /// # Errors
-    /// It cannot be connected to in time.
-    pub async fn lease(&self, now: Moment, is_once: bool, within: Duration) -> std::io::Result<LeasedConnection> {
-        self.pool.lease(self.address, now, is_once, within).await
+    /// No connection is available within `timeout`, or the server cannot be connected to.
+    pub async fn lease(&self, now: Moment, is_once: bool, timeout: Duration) -> std::io::Result<LeasedConnection> {
+        self.pool.lease(self.address, now, is_once, timeout).await
     }
 
-    /// Takes a connection back for the next request, if it can carry one.
-    pub async fn put_back(&self, now: Moment, leased: LeasedConnection, told: Option<Duration>) {
+    /// Returns a connection to the pool if it can carry another request. `keep_alive` is the timeout that the server
+    /// announced.
+    pub async fn put_back(&self, now: Moment, leased: LeasedConnection, keep_alive: Option<Duration>) {
         if !self.is_leaving() {
-            self.pool.put_back(now, leased, told).await;
+            self.pool.put_back(now, leased, keep_alive).await;
         }
     }
 
-    /// Closes connections that have rested too long.
+    /// Closes connections whose idle time is over.
     pub fn sweep(&self, now: Moment) {
         self.pool.sweep(now);
     }
--- a/crates/router/src/shortage.rs
+++ b/crates/router/src/shortage.rs
@@ -1,4 +1,4 @@
-//! Services that have few good servers, looked for from time to time.
+//! Periodic check for services that have few healthy servers.
 
 use std::collections::BTreeSet;
 use std::sync::{Mutex, PoisonError};
@@ -10,11 +10,11 @@
 use crate::cluster_view::ClusterView;
 use crate::router::Router;
 
-/// The services that were short at the last look.
+/// The services that were short at the last check.
 #[derive(Debug, Default)]
 pub struct ShortageWatch(Mutex<ShortageList>);
 
-/// Looks which services are short, counts them and logs what changed.
+/// Finds the services that are short, updates the gauge and logs the changes.
 pub(crate) fn check(router: &Router) {
     if !router.has(Mechanism::MeasuredPace) {
         return;
--- a/crates/router/src/slow_periods.rs
+++ b/crates/router/src/slow_periods.rs
@@ -1,4 +1,4 @@
-//! How long servers stay slow, as this node has seen it of all of them.
+//! Tracks how long servers stay slow, over all servers that this node has observed.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
@@ -6,29 +6,30 @@
 
 use streamfold_policy::reported_pace::{SlowPeriodSample, SlowPeriodStats};
 
-/// The slow spells seen so far. Every cost of a server reads their mean, so it is kept apart from the lock.
+/// Statistics of the slow periods observed so far. Every cost estimate of a server reads their mean, so it is stored
+/// outside the lock.
 pub struct SlowPeriodTracker {
-    record: Mutex<SlowPeriodStats>,
-    spell_us: AtomicU64,
+    stats: Mutex<SlowPeriodStats>,
+    mean_us: AtomicU64,
 }
 
 impl Default for SlowPeriodTracker {
     fn default() -> Self {
-        let record = SlowPeriodStats::default();
-        Self { spell_us: AtomicU64::new(record.mean().as_micros() as u64), record: Mutex::new(record) }
+        let stats = SlowPeriodStats::default();
+        Self { mean_us: AtomicU64::new(stats.mean().as_micros() as u64), stats: Mutex::new(stats) }
     }
 }
 
 impl SlowPeriodTracker {
-    /// Notes how a spell went on.
+    /// Adds an observation of a slow period.
     pub fn note(&self, sample: SlowPeriodSample) {
-        let mut record = self.record.lock().unwrap_or_else(PoisonError::into_inner);
-        record.add(sample);
-        self.spell_us.store(record.mean().as_micros() as u64, Ordering::Relaxed);
+        let mut stats = self.stats.lock().unwrap_or_else(PoisonError::into_inner);
+        stats.add(sample);
+        self.mean_us.store(stats.mean().as_micros() as u64, Ordering::Relaxed);
     }
 
-    /// How long a spell lasts on average.
-    pub fn spell(&self) -> Duration {
-        Duration::from_micros(self.spell_us.load(Ordering::Relaxed))
+    /// The mean duration of a slow period.
+    pub fn mean(&self) -> Duration {
+        Duration::from_micros(self.mean_us.load(Ordering::Relaxed))
     }
 }
--- a/crates/router/tests/clock.rs
+++ b/crates/router/tests/clock.rs
@@ -1,11 +1,11 @@
-//! The clock of decisions and its timers.
+//! The monotonic clock of the node and its timers.
 
 use std::time::Duration;
 
 use streamfold_router::clock::{NodeClock, suspended};
 
 #[test]
-fn the_clock_goes_forward_and_timers_are_as_far_off_as_their_moments() {
+fn the_clock_is_monotonic_and_timers_match_its_moments() {
     let clock = NodeClock::start();
     let first = clock.now();
     let second = clock.now();
@@ -14,14 +14,18 @@
     let timer = clock.instant(second.plus(ahead));
     let left = timer - tokio::time::Instant::now();
     assert!(left <= ahead && left + clock.now().since(second) >= ahead - Duration::from_millis(1), "{left:?}");
-    // A moment that is over is due now, not at some time before the clock began.
+    // A past moment is due now, not at some time before the clock was started.
     assert!(clock.instant(first) >= tokio::time::Instant::now() - Duration::from_secs(1));
 }
 
 #[test]
-fn only_what_a_clock_slept_through_counts_as_a_suspension() {
-    let span = Duration::from_millis;
-    assert_eq!(suspended(span(5_000), span(8_000)), span(3_000));
-    assert_eq!(suspended(span(5_000), span(5_099)), Duration::ZERO, "two readings lie apart");
-    assert_eq!(suspended(span(5_000), span(4_000)), Duration::ZERO);
+fn only_differences_beyond_the_clock_reading_error_count_as_suspension() {
+    let duration = Duration::from_millis;
+    assert_eq!(suspended(duration(5_000), duration(8_000)), duration(3_000));
+    assert_eq!(
+        suspended(duration(5_000), duration(5_099)),
+        Duration::ZERO,
+        "the two clocks are read at different times"
+    );
+    assert_eq!(suspended(duration(5_000), duration(4_000)), Duration::ZERO);
 }
