--- a/crates/router/src/ready.rs
+++ b/crates/router/src/ready.rs
@@ -1,4 +1,4 @@
-//! Answers whether the node is ready, and serves its counters.
+//! HTTP endpoint for the readiness check and the metrics of the node.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -16,12 +16,12 @@
 use crate::front::ACCEPT_PAUSE;
 use crate::router::Router;
 
-/// Where counters are served.
+/// The path of the metrics.
 const METRICS_PATH: &str = "/metrics";
-/// Questions come each second; a connection without any for so long is closed.
+/// Connections without a request for this long are closed. Readiness checks come every second.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Serves until the node ends.
+/// Serves requests until the node ends.
 pub async fn serve(router: Arc<Router>, listener: Arc<TcpListener>, metrics_text: fn() -> String) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
--- a/crates/router/src/store_call.rs
+++ b/crates/router/src/store_call.rs
@@ -1,4 +1,4 @@
-//! Why a node calls the platform's store. Every call is paid for, so each is counted and logged by its reason.
+//! Calls to the platform's store by reason. Every call is charged for, so each is counted and logged with its reason.
 
 use std::future::Future;
 use std::time::Instant;
@@ -10,30 +10,30 @@
 /// Why a node calls the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallReason {
-    /// It begins to follow a topic.
+    /// It starts to follow a topic.
     Begin,
-    /// It lists a topic again after a call that failed.
+    /// It lists a topic again after a failed call.
     AfterFailure,
-    /// It lists a topic again, since the history after its position is gone.
+    /// It lists a topic again because the history after its position is no longer available.
     HistoryGone,
     /// It waits for changes.
     Watch,
-    /// It starts and wants to know the other nodes.
+    /// It is starting and discovers the other nodes.
     LookAround,
-    /// Another node has newer routes that do not arrive.
+    /// Another node has newer routes that have not arrived here.
     Behind,
     /// It registers itself.
     Register,
-    /// It stops and removes its entry.
+    /// It is stopping and removes its entry.
     Withdraw,
     /// It removes the entry of a node that is gone.
     Sweep,
-    /// It tells of a content that ends servers, asks what is known of it, or gives it free.
+    /// It reports a request content that crashes servers, reads what is known about it, or releases it from quarantine.
     Quarantine,
 }
 
 impl CallReason {
-    /// Its name in counters and logs.
+    /// The name of the reason in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Begin => "begin",
@@ -50,7 +50,7 @@
     }
 }
 
-/// Makes a call that is counted with its reason, and logged with its outcome.
+/// Makes a call to the store, counts it by its reason and logs its outcome.
 ///
 /// # Errors
 /// Those of the call.
@@ -60,12 +60,12 @@
     call: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
     metrics::counter!("streamfold_store_asked_total", "topic" => topic.name(), "reason" => reason.name()).increment(1);
-    let began = Instant::now();
+    let started = Instant::now();
     let result = call.await;
     let outcome = result.as_ref().map_or_else(name_failure, |_| "answered");
-    let took_ms = began.elapsed().as_millis() as u64;
+    let took_ms = started.elapsed().as_millis() as u64;
     let reason = reason.name();
-    // Readers watch all the time.
+    // Successful watches are logged at debug level, since readers watch all the time.
     match result.is_ok() && reason == CallReason::Watch.name() {
         true => tracing::debug!(event = "store_asked", topic = %topic, reason, outcome, took_ms),
         false => tracing::info!(event = "store_asked", topic = %topic, reason, outcome, took_ms),
--- a/crates/router/src/task.rs
+++ b/crates/router/src/task.rs
@@ -1,4 +1,4 @@
-//! Work that must not end with a fault of its own: requests, and the tasks that a node lives by.
+//! Isolation of work whose panics must not end the node: requests and the node's background tasks.
 
 use std::future::Future;
 use std::panic::AssertUnwindSafe;
@@ -8,47 +8,47 @@
 use futures_util::FutureExt;
 use tokio::task::JoinSet;
 
-/// How long a task that panicked rests, so that one that always does takes no whole processor.
-const RESTART_PAUSE: Duration = Duration::from_millis(200);
+/// Delay before a task that panicked is restarted, so that a task that always panics does not use a whole CPU core.
+const RESTART_DELAY: Duration = Duration::from_millis(200);
 
-/// Runs work to its end; `None` if it panicked, of which the log has a line with the place.
+/// Runs work to its end; `None` if it panicked. The panic and its location are logged.
 pub async fn catch_panic<T>(work: impl Future<Output = T>) -> Option<T> {
-    // What was half done is dropped with the work; locks that it held count as usable.
+    // The unfinished state is dropped together with the work. Locks that it held remain usable.
     AssertUnwindSafe(work).catch_unwind().await.ok()
 }
 
-/// Runs a task of the node until it ends, and anew after a panic: a node that no longer hears of servers, or answers
-/// no other node, goes on serving by what it last knew and nobody is told.
-pub async fn keep_running<T: Future<Output = ()>>(name: &'static str, begin: impl Fn() -> T) {
-    while catch_panic(begin()).await.is_none() {
+/// Runs a task of the node until it ends and restarts it after a panic. Without the restart a node that no longer
+/// receives updates about servers, or answers no other node, would go on serving with stale data unnoticed.
+pub async fn keep_running<T: Future<Output = ()>>(name: &'static str, make_task: impl Fn() -> T) {
+    while catch_panic(make_task()).await.is_none() {
         tracing::error!(event = "task_begun_anew", task = name);
-        tokio::time::sleep(RESTART_PAUSE).await;
+        tokio::time::sleep(RESTART_DELAY).await;
     }
 }
 
-/// The tasks that a node of some kind lives by.
+/// The background tasks of a node.
 pub struct NodeTasks<N> {
     node: Arc<N>,
     running: JoinSet<()>,
 }
 
 impl<N: Send + Sync + 'static> NodeTasks<N> {
-    /// None yet.
+    /// Creates an empty set of tasks.
     pub fn new(node: Arc<N>) -> Self {
         Self { node, running: JoinSet::new() }
     }
 
-    /// Starts a task, which is begun anew should it panic.
-    pub fn start<T, B>(&mut self, name: &'static str, begin: B)
+    /// Starts a task, which is restarted if it panics.
+    pub fn start<T, B>(&mut self, name: &'static str, make_task: B)
     where
         T: Future<Output = ()> + Send + 'static,
         B: Fn(Arc<N>) -> T + Send + Sync + 'static,
     {
         let node = self.node.clone();
-        self.running.spawn(async move { keep_running(name, || begin(node.clone())).await });
+        self.running.spawn(async move { keep_running(name, || make_task(node.clone())).await });
     }
 
-    /// All of them, to be ended with the node.
+    /// All tasks, to be cancelled when the node ends.
     pub fn into_running(self) -> JoinSet<()> {
         self.running
     }
--- a/crates/router/tests/store_turn.rs
+++ b/crates/router/tests/store_turn.rs
@@ -1,4 +1,4 @@
-//! While the store refuses calls, one of a node's calls at a time asks whether it takes them again.
+//! While the store refuses calls, one call of a node at a time probes whether it accepts them again.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -8,118 +8,123 @@
 
 const REFUSED: StoreError = StoreError::Unavailable(503);
 
-/// Makes a call that counts itself among those under way, and is refused or taken as told.
-async fn ask(turn: &StoreBreaker, asked: &AtomicUsize, told: oneshot::Receiver<bool>) -> bool {
+/// Makes a call that increments `call_count` when it starts, and is accepted or refused as the test answers.
+async fn call_store(breaker: &StoreBreaker, call_count: &AtomicUsize, answer: oneshot::Receiver<bool>) -> bool {
     let call = async {
-        asked.fetch_add(1, Ordering::SeqCst);
-        match told.await.expect("a word") {
+        call_count.fetch_add(1, Ordering::SeqCst);
+        match answer.await.expect("an answer") {
             true => Ok(()),
             false => Err(REFUSED),
         }
     };
-    turn.call(call).await.is_ok()
+    breaker.call(call).await.is_ok()
 }
 
 #[tokio::test]
-async fn calls_that_were_refused_ask_again_one_at_a_time() {
-    let turn = StoreBreaker::default();
-    assert!(turn.call(async { Err::<(), _>(REFUSED) }).await.is_err());
-    let asked = AtomicUsize::new(0);
-    let (tell_first, first) = oneshot::channel();
-    let (tell_second, second) = oneshot::channel();
+async fn refused_calls_are_retried_one_at_a_time() {
+    let breaker = StoreBreaker::default();
+    assert!(breaker.call(async { Err::<(), _>(REFUSED) }).await.is_err());
+    let call_count = AtomicUsize::new(0);
+    let (answer_first, first) = oneshot::channel();
+    let (answer_second, second) = oneshot::channel();
     let steps = async {
-        while asked.load(Ordering::SeqCst) == 0 {
+        while call_count.load(Ordering::SeqCst) == 0 {
             tokio::task::yield_now().await;
         }
         for _ in 0..1_000 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(asked.load(Ordering::SeqCst), 1, "the second waits for its turn");
-        tell_first.send(true).expect("the first call");
-        tell_second.send(true).expect("the second call");
+        assert_eq!(call_count.load(Ordering::SeqCst), 1, "the second waits for the first");
+        answer_first.send(true).expect("the first call");
+        answer_second.send(true).expect("the second call");
     };
-    let results = tokio::join!(ask(&turn, &asked, first), ask(&turn, &asked, second), steps);
-    assert_eq!((results.0, results.1, asked.load(Ordering::SeqCst)), (true, true, 2));
+    let results =
+        tokio::join!(call_store(&breaker, &call_count, first), call_store(&breaker, &call_count, second), steps);
+    assert_eq!((results.0, results.1, call_count.load(Ordering::SeqCst)), (true, true, 2));
 }
 
 #[tokio::test]
-async fn calls_go_together_while_none_is_refused() {
-    let turn = StoreBreaker::default();
-    let asked = AtomicUsize::new(0);
-    let (tell_first, first) = oneshot::channel();
-    let (tell_second, second) = oneshot::channel();
+async fn calls_run_concurrently_while_none_is_refused() {
+    let breaker = StoreBreaker::default();
+    let call_count = AtomicUsize::new(0);
+    let (answer_first, first) = oneshot::channel();
+    let (answer_second, second) = oneshot::channel();
     let steps = async {
-        while asked.load(Ordering::SeqCst) < 2 {
+        while call_count.load(Ordering::SeqCst) < 2 {
             tokio::task::yield_now().await;
         }
-        tell_first.send(true).expect("the first call");
-        tell_second.send(true).expect("the second call");
+        answer_first.send(true).expect("the first call");
+        answer_second.send(true).expect("the second call");
     };
-    let results = tokio::join!(ask(&turn, &asked, first), ask(&turn, &asked, second), steps);
+    let results =
+        tokio::join!(call_store(&breaker, &call_count, first), call_store(&breaker, &call_count, second), steps);
     assert_eq!((results.0, results.1), (true, true));
 }
 
-/// Makes two calls of which the first is answered when the test says so; whether the second waited for it.
-async fn second_waits(turn: &StoreBreaker) -> bool {
-    let asked = AtomicUsize::new(0);
-    let (tell_first, first) = oneshot::channel();
-    let (tell_second, second) = oneshot::channel();
-    let mut asked_at_once = 0;
+/// Makes two calls, the first of which is answered when the test allows it, and returns whether the second waited for
+/// it.
+async fn second_waits(breaker: &StoreBreaker) -> bool {
+    let call_count = AtomicUsize::new(0);
+    let (answer_first, first) = oneshot::channel();
+    let (answer_second, second) = oneshot::channel();
+    let mut concurrent_calls = 0;
     let steps = async {
-        while asked.load(Ordering::SeqCst) == 0 {
+        while call_count.load(Ordering::SeqCst) == 0 {
             tokio::task::yield_now().await;
         }
         for _ in 0..1_000 {
             tokio::task::yield_now().await;
         }
-        asked_at_once = asked.load(Ordering::SeqCst);
-        tell_first.send(true).expect("the first call");
-        tell_second.send(true).expect("the second call");
+        concurrent_calls = call_count.load(Ordering::SeqCst);
+        answer_first.send(true).expect("the first call");
+        answer_second.send(true).expect("the second call");
     };
-    let results = tokio::join!(ask(turn, &asked, first), ask(turn, &asked, second), steps);
+    let results =
+        tokio::join!(call_store(breaker, &call_count, first), call_store(breaker, &call_count, second), steps);
     assert_eq!((results.0, results.1), (true, true));
-    asked_at_once == 1
+    concurrent_calls == 1
 }
 
-/// A store that broke every connection for six seconds was asked by each node for five topics by themselves.
+/// Guards against a store that breaks every connection for six seconds and is called by each node for each of five
+/// topics separately.
 #[tokio::test]
-async fn calls_whose_connection_broke_ask_again_one_at_a_time() {
-    let turn = StoreBreaker::default();
-    assert!(turn.call(async { Err::<(), _>(StoreError::ConnectionBroken) }).await.is_err());
-    assert!(second_waits(&turn).await);
+async fn calls_with_a_broken_connection_are_retried_one_at_a_time() {
+    let breaker = StoreBreaker::default();
+    assert!(breaker.call(async { Err::<(), _>(StoreError::ConnectionBroken) }).await.is_err());
+    assert!(second_waits(&breaker).await);
 }
 
 #[tokio::test]
-async fn calls_of_which_one_answer_was_late_go_together() {
-    let turn = StoreBreaker::default();
-    assert!(turn.call(async { Err::<(), _>(StoreError::AnswerLost) }).await.is_err());
-    assert!(!second_waits(&turn).await);
+async fn calls_run_concurrently_after_a_late_answer() {
+    let breaker = StoreBreaker::default();
+    assert!(breaker.call(async { Err::<(), _>(StoreError::AnswerLost) }).await.is_err());
+    assert!(!second_waits(&breaker).await);
 }
 
 #[tokio::test]
-async fn one_call_finds_out_whether_a_store_in_doubt_takes_calls() {
-    let turn = StoreBreaker::default();
-    turn.require_probe();
-    assert!(!turn.is_refused(), "nobody was refused");
-    assert!(second_waits(&turn).await);
-    assert!(!second_waits(&turn).await, "it does");
+async fn one_call_probes_a_store_of_unknown_state() {
+    let breaker = StoreBreaker::default();
+    breaker.require_probe();
+    assert!(!breaker.is_refused(), "no call was refused");
+    assert!(second_waits(&breaker).await);
+    assert!(!second_waits(&breaker).await, "the store accepts calls");
 }
 
 #[tokio::test]
-async fn a_call_does_not_wait_for_one_that_a_slow_store_keeps_waiting() {
-    let turn = StoreBreaker::default();
-    turn.require_probe();
-    let asked = AtomicUsize::new(0);
-    let (tell_first, first) = oneshot::channel();
-    let (tell_second, second) = oneshot::channel();
-    tell_second.send(true).expect("the second call");
+async fn a_call_does_not_wait_for_a_probe_that_a_slow_store_delays() {
+    let breaker = StoreBreaker::default();
+    breaker.require_probe();
+    let call_count = AtomicUsize::new(0);
+    let (answer_first, first) = oneshot::channel();
+    let (answer_second, second) = oneshot::channel();
+    answer_second.send(true).expect("the second call");
     let second = async {
-        while asked.load(Ordering::SeqCst) == 0 {
+        while call_count.load(Ordering::SeqCst) == 0 {
             tokio::task::yield_now().await;
         }
-        let is_taken = ask(&turn, &asked, second).await;
-        tell_first.send(true).expect("the first call");
-        is_taken
+        let is_accepted = call_store(&breaker, &call_count, second).await;
+        answer_first.send(true).expect("the first call");
+        is_accepted
     };
-    assert_eq!(tokio::join!(ask(&turn, &asked, first), second), (true, true));
+    assert_eq!(tokio::join!(call_store(&breaker, &call_count, first), second), (true, true));
 }
