--- a/crates/router/src/cluster.rs
+++ b/crates/router/src/cluster.rs
@@ -1,5 +1,5 @@
-//! What a node knows of routes, servers and other nodes. Requests read one value of it that
-//! is replaced whole (read-copy-update).
+//! A node's state of the cluster: routes, servers and other nodes. Requests read an immutable view that every change
+//! replaces as a whole (read-copy-update).
 
 use std::collections::HashSet;
 use std::fmt;
@@ -19,22 +19,21 @@
 use crate::quarantine::CrashQuarantine;
 use crate::server::Server;
 
-/// How long a server whose entry is gone may still be used where no other answers. Entries
-/// also lapse while the store is away, which a node whose watch stayed open does not notice;
-/// those of servers that live are back within about two seconds. A server that left gets no
-/// request later than three seconds after.
-const DOUBT: Duration = Duration::from_millis(2_200);
-/// Nodes that have a line each in the log when they come together; of more only their number has one.
-const MAX_NAMED_NODES: usize = 16;
+/// How long a server whose entry is gone may still be used where no other server answers. Entries also expire while
+/// the store is unavailable, which a node whose watch stays open does not notice; those of live servers reappear within
+/// about two seconds. The limit for requests to a server that has left is three seconds.
+const DOUBTFUL_GRACE_PERIOD: Duration = Duration::from_millis(2_200);
+/// The most nodes of one update that are logged one by one; of a larger update only the count is logged.
+const MAX_LOGGED_NODES: usize = 16;
 
-/// Who told this node something of the cluster.
+/// The source of an update to the cluster state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateOrigin {
     /// The platform's store.
     Store,
-    /// The node of its failure domain that follows the store for it.
+    /// The reader: the node of the same failure domain that watches the store for this one.
     Reader,
-    /// Another node, while the store is away.
+    /// Another node, while the store is unavailable.
     Peer,
 }
 
@@ -48,18 +47,18 @@
     }
 }
 
-/// What a node knows of the cluster.
+/// The state of the cluster as this node knows it.
 pub struct Cluster {
     place: ClusterPlace,
     generation: AtomicU64,
     parts: Mutex<ClusterParts>,
     view: ArcSwap<ClusterView>,
-    /// Contents that end servers.
+    /// Request contents that crash servers.
     pub quarantine: CrashQuarantine,
 }
 
 impl Cluster {
-    /// A cluster of which nothing is known yet.
+    /// Creates the state without any routes, servers or nodes.
     pub fn new(place: ClusterPlace) -> Self {
         let parts = ClusterParts::default();
         let view = ArcSwap::from_pointee(parts.build_view(&place));
@@ -67,17 +66,17 @@
         Self { place, generation: AtomicU64::new(0), parts: Mutex::new(parts), view, quarantine }
     }
 
-    /// The view that a request works with.
+    /// The current view, which a request keeps to its end.
     pub fn view(&self) -> Arc<ClusterView> {
         self.view.load_full()
     }
 
-    /// Where this node stands.
+    /// The location of this node and the settings by which it judges servers.
     pub fn place(&self) -> &ClusterPlace {
         &self.place
     }
 
-    /// The version of the routes in force, 0 for none.
+    /// The version of the active routes, 0 for none.
     pub fn version(&self) -> TableVersion {
         self.view.load().table.as_ref().map_or(TableVersion(0), |table| table.version)
     }
@@ -94,14 +93,14 @@
         self.view.store(Arc::new(view));
     }
 
-    /// Puts routes in force if they are newer than those in force; whether they were.
+    /// Activates routes if they are newer than the active ones; returns whether they were.
     pub fn offer_table(&self, table: RouteTable, origin: UpdateOrigin) -> bool {
         let mut parts = self.parts();
-        let own = parts.table.as_ref().map_or(TableVersion(0), |table| table.version);
-        if table.version <= own {
+        let active = parts.table.as_ref().map_or(TableVersion(0), |table| table.version);
+        if table.version <= active {
             return false;
         }
-        tracing::info!(event = "routes_in_force", version = %table.version, before = %own, source = %origin);
+        tracing::info!(event = "routes_in_force", version = %table.version, before = %active, source = %origin);
         metrics::gauge!("streamfold_routes_version").set(table.version.0 as f64);
         parts.keep_latencies(&table);
         parts.keep_split_selectors(&table);
@@ -111,15 +110,15 @@
         true
     }
 
-    /// Puts a list of evacuated failure domains in force if it is newer than the one in force; whether
-    /// it was. Requests under way see it too, since each attempt asks the servers themselves.
+    /// Activates a list of evacuated failure domains if it is newer than the active one; returns whether it was.
+    /// Requests in progress see it too, since each attempt checks the current state of the servers.
     pub fn offer_evacuations(&self, now: Moment, list: EvacuationList, origin: UpdateOrigin) -> bool {
         let mut parts = self.parts();
-        let before = parts.evacuations.as_ref();
-        if before.is_some_and(|before| before.position >= list.position) {
+        let current = parts.evacuations.as_ref();
+        if current.is_some_and(|current| current.position >= list.position) {
             return false;
         }
-        if before.map_or(!list.domains.is_empty(), |before| before.domains != list.domains) {
+        if current.map_or(!list.domains.is_empty(), |current| current.domains != list.domains) {
             tracing::info!(
                 event = "evacuations_in_force",
                 failure_domains = list.format_domains(),
@@ -133,19 +132,19 @@
         true
     }
 
-    /// The evacuated failure domains, if anybody has told.
+    /// The evacuated failure domains; `None` until a source has reported them.
     pub fn evacuations(&self) -> Option<EvacuationList> {
         self.parts().evacuations.clone()
     }
 
-    /// Takes changes of a topic.
+    /// Applies changes of a topic.
     pub fn apply(&self, now: Moment, changes: Vec<FeedChange>, topic: FeedTopic, origin: UpdateOrigin) {
-        let is_first = topic != FeedTopic::Routes && !self.knows_any(topic);
+        let is_first = topic != FeedTopic::Routes && !self.has_entries(topic);
         if is_first && !changes.is_empty() {
             tracing::info!(event = "listed", topic = %topic, entries = changes.len(), source = %origin);
         }
-        // A line for each of a thousand nodes at each of them would be a million of them when all start again.
-        let is_many = changes.len() > MAX_NAMED_NODES;
+        // With a thousand nodes, a log line per node at every node is a million lines when all of them restart.
+        let is_many = changes.len() > MAX_LOGGED_NODES;
         if is_many && !is_first && topic == FeedTopic::Nodes {
             tracing::info!(event = "nodes_seen", entries = changes.len(), source = %origin);
         }
@@ -159,13 +158,13 @@
                 FeedChange::Put(FeedItem::Node(entry)) => {
                     is_changed |= self.put_node(entry, origin, is_first || is_many);
                 }
-                // Known as a whole.
+                // The list of evacuations is only replaced as a whole.
                 FeedChange::Put(FeedItem::Evacuation(_)) => {}
                 FeedChange::Put(FeedItem::Crash(entry)) => self.quarantine.put(now, entry, origin),
                 FeedChange::Removed(entry) => is_changed |= self.remove(now, topic, &entry),
             }
         }
-        // Also what is not in the view, such as doubt, is passed on to other nodes.
+        // State that is not part of the view, such as doubtful servers, is also sent to other nodes.
         self.generation.fetch_add(1, Ordering::Relaxed);
         if !is_changed {
             return;
@@ -177,12 +176,12 @@
         self.publish(&parts);
     }
 
-    /// Counts changes: while it stays the same, so do the entries and the routes.
+    /// A counter of changes. While it is unchanged, entries and routes are unchanged.
     pub fn generation(&self) -> u64 {
         self.generation.load(Ordering::Relaxed)
     }
 
-    /// Takes all of a topic: what is not in it any more is gone.
+    /// Replaces all entries of a topic; those that `items` lacks are removed.
     pub fn replace(&self, now: Moment, items: Vec<FeedItem>, topic: FeedTopic, origin: UpdateOrigin) {
         let listed: HashSet<String> = items.iter().map(item_name).collect();
         let known: Vec<String> = match topic {
@@ -197,7 +196,7 @@
         self.apply(now, changes, topic, origin);
     }
 
-    fn knows_any(&self, topic: FeedTopic) -> bool {
+    fn has_entries(&self, topic: FeedTopic) -> bool {
         let parts = self.parts();
         match topic {
             FeedTopic::Routes => parts.table.is_some(),
@@ -208,16 +207,16 @@
         }
     }
 
-    /// Takes a server's entry; one of the first listing has no line of its own, since thousands of
-    /// them would push all others out of the log's buffer.
+    /// Adds or updates a server. Servers of the first listing are not logged one by one, since thousands of lines would
+    /// displace all others from the log's buffer.
     fn put_server(&self, now: Moment, entry: &ServerEntry, is_first: bool) -> bool {
         let mut parts = self.parts();
         if parts.servers.get(&entry.id).is_some_and(|server| entry.start < server.start) {
-            // An older run's entry by a slower way.
+            // The entry of an older run, delivered late by a slower path.
             return false;
         }
         parts.doubtful.remove(&entry.id);
-        parts.end_run_before(entry);
+        parts.retire_previous_run(entry);
         if let Some(server) = parts.servers.get(&entry.id) {
             server.set_doubtful(false);
             if !entry.warmup.is_zero() && server.state().warmup_left(now).is_zero() {
@@ -241,22 +240,22 @@
                 draining = entry.is_draining
             );
         }
-        let shared = parts.share(&entry.domain, &self.place);
+        let shared = parts.server_shared(&entry.domain, &self.place);
         let server = Server::new(entry, shared, now);
         parts.servers.insert(entry.id.clone(), server);
         parts.budgets.entry(entry.service.clone()).or_default();
         true
     }
 
-    fn put_node(&self, entry: NodeEntry, origin: UpdateOrigin, is_unnamed: bool) -> bool {
+    fn put_node(&self, entry: NodeEntry, origin: UpdateOrigin, is_unlogged: bool) -> bool {
         let mut parts = self.parts();
         let known = parts.nodes.get(&entry.node);
-        // What another node tells may be older than what the store has told.
+        // An entry from another node may be older than the one from the store.
         let is_older = known.is_some_and(|known| entry.incarnation < known.incarnation);
         if known == Some(&entry) || (is_older && origin == UpdateOrigin::Peer) {
             return false;
         }
-        if !is_unnamed {
+        if !is_unlogged {
             tracing::info!(
                 event = "node_seen",
                 node = %entry.node,
@@ -293,57 +292,58 @@
                     return false;
                 }
                 if server.is_leaving() {
-                    return parts.drop_server(&id);
+                    return parts.remove_server(&id);
                 }
                 tracing::info!(event = "server_doubtful", server = %id, service = %server.service);
                 server.set_doubtful(true);
-                parts.doubtful.entry(id).or_insert(now.plus(DOUBT));
+                parts.doubtful.entry(id).or_insert(now.plus(DOUBTFUL_GRACE_PERIOD));
                 false
             }
         }
     }
 
-    /// Whether a node is registered.
+    /// Whether a node has an entry.
     pub fn has_node(&self, node: &NodeId) -> bool {
         self.parts().nodes.contains_key(node)
     }
 
-    /// The nodes of this one's failure domain, itself included.
+    /// The nodes of this node's failure domain, including this one.
     pub fn neighbours(&self) -> Vec<NodeEntry> {
         self.parts().nodes_of(&self.place.domain)
     }
 
-    /// The nodes of the failure domain of a node, itself included; none if it is not known.
+    /// The nodes of a node's failure domain, including that node; empty if the node is not known.
     pub fn neighbours_of(&self, node: &NodeId) -> Vec<NodeEntry> {
         let parts = self.parts();
         parts.nodes.get(node).map_or_else(Vec::new, |entry| parts.nodes_of(&entry.domain))
     }
 
-    /// How many servers are known.
+    /// The number of known servers.
     pub fn count_servers(&self) -> usize {
         self.parts().servers.len()
     }
 
-    /// The entries of servers and nodes known, for another node.
+    /// The entries of servers, without doubtful ones, and of nodes, to send to another node.
     pub fn entries(&self, now: Moment) -> (Vec<ServerEntry>, Vec<NodeEntry>) {
         let parts = self.parts();
         let servers = parts.servers.values().filter(|server| !server.is_doubtful()).map(|server| server.entry(now));
         (servers.collect(), parts.nodes.values().cloned().collect())
     }
 
-    /// Drops doubtful servers that did not come back and closes connections that rested long.
+    /// Removes doubtful servers whose grace period is over, ceases to count nodes that left, and closes connections that
+    /// were idle too long.
     pub fn sweep(&self, now: Moment) {
         let mut parts = self.parts();
-        let overdue: Vec<ServerId> =
+        let expired: Vec<ServerId> =
             parts.doubtful.iter().filter(|(_, until)| **until <= now).map(|(id, _)| id.clone()).collect();
-        for id in &overdue {
+        for id in &expired {
             parts.doubtful.remove(id);
-            parts.drop_server(id);
+            parts.remove_server(id);
         }
         parts.servers.values().for_each(|server| server.sweep(now));
-        let counted = parts.gone_nodes.len();
+        let gone_count = parts.gone_nodes.len();
         parts.gone_nodes.retain(|(_, until)| now < *until);
-        if !overdue.is_empty() || parts.gone_nodes.len() < counted {
+        if !expired.is_empty() || parts.gone_nodes.len() < gone_count {
             self.publish(&parts);
         }
     }
--- a/crates/router/src/cluster_parts.rs
+++ b/crates/router/src/cluster_parts.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the cluster, as it is changed; requests see it as a view.
+//! The mutable state of the cluster, from which the views that requests read are built.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::{Arc, Mutex};
@@ -26,41 +26,41 @@
 use crate::server::{Server, ServerShared};
 use crate::spell_book::SpellBook;
 
-/// Nodes of each other failure domain that a node keeps links to.
+/// How many nodes of each other failure domain a node keeps connections to.
 const PEERS_PER_DOMAIN: usize = 4;
-/// The parts of the view, changed under a lock.
+/// The state of the cluster, changed under a lock.
 #[derive(Default)]
 pub(crate) struct ClusterParts {
-    /// The routes in force.
+    /// The active routes.
     pub(crate) table: Option<Arc<RouteTable>>,
-    /// Servers, leaving ones too.
+    /// All servers, including those that are leaving.
     pub(crate) servers: HashMap<ServerId, Arc<Server>>,
-    /// Servers whose entry is gone, with the moment from which they are gone too.
+    /// Servers whose entry is gone, with the time at which they are removed.
     pub(crate) doubtful: HashMap<ServerId, Moment>,
-    /// Extra calls spent, by service.
+    /// Used extra calls by service.
     pub(crate) budgets: HashMap<ServiceName, Arc<Mutex<ExtraBudget>>>,
-    /// Calls that wait, by service, where calls do.
+    /// Queues of calls by service, for services with contention.
     queues: HashMap<ServiceName, Arc<CallLine>>,
     waits: Arc<CallWaits>,
-    /// Services that requests of different priority use.
+    /// Services used by routes of different priority.
     mixed_priority_services: Arc<HashSet<ServiceName>>,
     latencies: HashMap<RouteName, RouteLatencies>,
     split_selectors: HashMap<RouteName, Arc<SplitSelector>>,
-    /// How long servers stay slow.
-    spells: Arc<SpellBook>,
-    /// Failure domains that have, or had, servers or nodes.
+    /// Statistics on how long servers stay slow.
+    slow_periods: Arc<SpellBook>,
+    /// Failure domains that have or had servers or nodes.
     domains: HashMap<FailureDomain, Arc<DomainState>>,
-    /// The evacuated failure domains, once anybody has told.
+    /// The evacuated failure domains; `None` until a source has reported them.
     pub(crate) evacuations: Option<EvacuationList>,
-    /// Nodes, this one included.
+    /// All nodes, including this one.
     pub(crate) nodes: HashMap<NodeId, NodeEntry>,
-    /// Nodes that went, with the moment until which they count.
+    /// Nodes that left, with the time until which they still count.
     pub(crate) gone_nodes: Vec<(NodeEntry, Moment)>,
     peers: HashMap<NodeId, Arc<PeerNode>>,
 }
 
 impl ClusterParts {
-    /// What is known of a failure domain.
+    /// The state of a failure domain, created on first use.
     fn domain(&mut self, name: &FailureDomain, place: &ClusterPlace) -> Arc<DomainState> {
         let is_evacuated = self.evacuations.as_ref().is_some_and(|list| list.domains.contains(name));
         let make = || {
@@ -76,57 +76,60 @@
         self.nodes.values().filter(|entry| entry.domain == *domain).cloned().collect()
     }
 
-    /// What a server in a failure domain shares with others.
-    pub(crate) fn share(&mut self, domain: &FailureDomain, place: &ClusterPlace) -> ServerShared {
+    /// The state that a server in a failure domain shares with others.
+    pub(crate) fn server_shared(&mut self, domain: &FailureDomain, place: &ClusterPlace) -> ServerShared {
         let domain = self.domain(domain, place);
-        ServerShared { domain, spells: self.spells.clone(), mechanisms: place.mechanisms }
+        ServerShared { domain, spells: self.slow_periods.clone(), mechanisms: place.mechanisms }
     }
 
-    /// Puts a list of evacuated failure domains in force. The servers of one that is given back count as
-    /// cold where calls to cold ones are bounded: their machines may have been stopped meanwhile, and
-    /// their entries tell that only later.
+    /// Activates a list of evacuated failure domains. When an evacuation ends, the domain's servers count as warming up
+    /// where calls to such servers are limited: their machines may have been stopped in the meantime, which their
+    /// entries show only later.
     pub(crate) fn set_evacuations(&mut self, now: Moment, list: EvacuationList) {
         for domain in self.domains.values() {
             let is_evacuated = list.domains.contains(&domain.name);
             if domain.set_evacuated(is_evacuated) && !is_evacuated {
                 let servers = self.servers.values().filter(|server| server.domain == domain.name);
-                servers.for_each(|server| server.state().record_warmup(now, self.bounded_cold(&server.service)));
+                servers.for_each(|server| server.state().record_warmup(now, self.limited_warmup(&server.service)));
             }
         }
         self.evacuations = Some(list);
     }
 
-    /// How long servers of a service stay cold, where calls to cold ones are bounded; else nothing.
-    fn bounded_cold(&self, service: &ServiceName) -> Duration {
+    /// The warm-up time of a service's servers if its calls to servers that warm up are limited, otherwise zero.
+    fn limited_warmup(&self, service: &ServiceName) -> Duration {
         let spec = self.table.as_ref().and_then(|table| table.service(service));
         spec.filter(|spec| spec.warmup_rate.is_some()).map_or(Duration::ZERO, |spec| spec.warmup_duration)
     }
 
-    /// Ends what is known of an earlier run of a server: what was learnt of it holds for no other.
-    pub(crate) fn end_run_before(&mut self, entry: &ServerEntry) {
-        let Some(known) = self.servers.get(&entry.id).filter(|known| known.start < entry.start) else { return };
+    /// Removes an earlier run of a server, whose measurements do not apply to the new one.
+    pub(crate) fn retire_previous_run(&mut self, entry: &ServerEntry) {
+        let Some(previous) = self.servers.get(&entry.id).filter(|previous| previous.start < entry.start) else {
+            return;
+        };
         tracing::info!(
             event = "server_restarted",
             server = %entry.id,
             service = %entry.service,
             address = %entry.address,
-            before = %known.start,
+            before = %previous.start,
             start = %entry.start
         );
-        known.mark_leaving();
+        previous.mark_leaving();
         self.servers.remove(&entry.id);
     }
 
-    /// Drops a server; whether it was known.
-    pub(crate) fn drop_server(&mut self, id: &ServerId) -> bool {
+    /// Removes a server; returns whether it was known.
+    pub(crate) fn remove_server(&mut self, id: &ServerId) -> bool {
         let Some(server) = self.servers.remove(id) else { return false };
         server.mark_leaving();
         tracing::info!(event = "server_gone", server = %id, service = %server.service);
         true
     }
 
-    /// Chooses the nodes to keep links to, a few owners of each failure domain, so that links grow
-    /// with domains and not with nodes. In its own domain a node keeps links only to stronger ones.
+    /// Chooses the nodes to stay connected to: a few owners of each failure domain, so that the number of connections
+    /// grows with the failure domains and not with the nodes. In its own failure domain an owner connects to no nodes
+    /// and any other node to owners only.
     pub(crate) fn choose_peers(&mut self, place: &ClusterPlace) {
         let domains: BTreeSet<FailureDomain> = self.nodes.values().map(|entry| entry.domain.clone()).collect();
         let states = domains.into_iter().map(|domain| (domain.clone(), self.domain(&domain, place)));
@@ -136,9 +139,9 @@
             let strongest = strongest.get(&entry.domain).copied().flatten();
             placement::is_owner(entry.cpu_share, strongest)
         };
-        let is_own_owner = self.nodes.get(&place.node).is_none_or(is_owner);
+        let is_self_owner = self.nodes.get(&place.node).is_none_or(is_owner);
         let mut by_domain: HashMap<&FailureDomain, Vec<&NodeEntry>> = HashMap::new();
-        for entry in self.nodes.values().filter(|entry| entry.domain != place.domain || !is_own_owner) {
+        for entry in self.nodes.values().filter(|entry| entry.domain != place.domain || !is_self_owner) {
             by_domain.entry(&entry.domain).or_default().push(entry);
         }
         let mut peers = HashMap::new();
@@ -146,7 +149,7 @@
             let owners = entries.iter().filter(|entry| is_owner(entry)).map(|entry| entry.node.as_str());
             let mut chosen = choose_owners(owners, place.node.as_str(), PEERS_PER_DOMAIN);
             if *domain != place.domain {
-                // Others stand in where few owners are there and all of them are lost.
+                // Where a failure domain has few owners, other nodes fill up, in case all of the owners are lost.
                 let others = entries.iter().filter(|entry| !is_owner(entry)).map(|entry| entry.node.as_str());
                 chosen.extend(choose_owners(others, place.node.as_str(), PEERS_PER_DOMAIN - chosen.len()));
             }
@@ -160,46 +163,46 @@
         self.peers = peers;
     }
 
-    /// The processor of the strongest node of each failure domain, of those that went lately too.
+    /// The largest CPU share of a node in each failure domain, including nodes that left recently.
     fn find_strongest(&self) -> HashMap<FailureDomain, Option<CoreShare>> {
         let gone = self.gone_nodes.iter().map(|(entry, _)| entry);
         let mut strongest: HashMap<FailureDomain, Option<CoreShare>> = HashMap::new();
         for entry in self.nodes.values().chain(gone) {
-            let known = strongest.entry(entry.domain.clone()).or_default();
-            *known = (*known).max(entry.cpu_share);
+            let max_share = strongest.entry(entry.domain.clone()).or_default();
+            *max_share = (*max_share).max(entry.cpu_share);
         }
         strongest
     }
 
-    /// Keeps the latencies of routes that are in the new version too.
+    /// Keeps the measured latencies of routes that the new version still has.
     pub(crate) fn keep_latencies(&mut self, table: &RouteTable) {
         let mut old = std::mem::take(&mut self.latencies);
-        let mut keep = |name: &RouteName| old.remove(name).unwrap_or_default();
-        self.latencies = table.routes().iter().map(|route| (route.name.clone(), keep(&route.name))).collect();
+        let mut reuse = |name: &RouteName| old.remove(name).unwrap_or_default();
+        self.latencies = table.routes().iter().map(|route| (route.name.clone(), reuse(&route.name))).collect();
     }
 
-    /// Goes on with the turns of splits that are in the new version too.
+    /// Keeps the selectors of split routes that the new version still has.
     pub(crate) fn keep_split_selectors(&mut self, table: &RouteTable) {
         let mut old = std::mem::take(&mut self.split_selectors);
-        let mut keep = |name: &RouteName| {
-            let known = old.remove(name);
-            known.unwrap_or_else(|| Arc::new(SplitSelector::new(rand::random())))
+        let mut reuse = |name: &RouteName| {
+            let existing = old.remove(name);
+            existing.unwrap_or_else(|| Arc::new(SplitSelector::new(rand::random())))
         };
         let is_split = |route: &&Arc<RouteSpec>| matches!(&route.target, RouteTarget::Split(parts) if parts.len() > 1);
         let splits = table.routes().iter().filter(is_split);
-        self.split_selectors = splits.map(|route| (route.name.clone(), keep(&route.name))).collect();
+        self.split_selectors = splits.map(|route| (route.name.clone(), reuse(&route.name))).collect();
     }
 
-    /// Goes on with the lines of services whose calls wait in the new version too. Calls in another line go on
-    /// waiting there, and look for room by themselves.
+    /// Keeps the queues of services that still need one in the new version. Calls in a removed queue stay there and
+    /// check for capacity periodically on their own.
     pub(crate) fn keep_queues(&mut self, table: &RouteTable, place: &ClusterPlace) {
         let mut old = std::mem::take(&mut self.queues);
         self.mixed_priority_services = Arc::new(table.mixed_priority_services());
         for (service, rule) in find_contended(table, &self.mixed_priority_services, place) {
             let make = || CallLine::new(service.clone(), rule, self.waits.clone());
-            let line = old.remove(&service).unwrap_or_else(make);
-            line.set_rule(rule);
-            self.queues.insert(service, line);
+            let queue = old.remove(&service).unwrap_or_else(make);
+            queue.set_rule(rule);
+            self.queues.insert(service, queue);
         }
     }
 
@@ -215,7 +218,7 @@
         counts
     }
 
-    /// The owners of a failure domain, also those that went lately: they may have called until then.
+    /// The owners of a failure domain, including those that left recently, since they may have made calls until then.
     fn owners_of(&self, domain: &FailureDomain) -> Vec<NodeId> {
         let strongest = self.find_strongest();
         let gone = self.gone_nodes.iter().map(|(entry, _)| entry);
@@ -225,7 +228,7 @@
         names.into_iter().collect()
     }
 
-    /// The nodes that give credit, where any team is limited.
+    /// The nodes that grant credit in each failure domain; empty if no team has a limit.
     fn find_granters(&self) -> BTreeMap<FailureDomain, Vec<NodeEntry>> {
         let teams = self.table.as_ref().and_then(|table| table.teams());
         if !teams.is_some_and(TeamDirectory::has_limits) {
@@ -240,7 +243,7 @@
         owners.into_iter().map(|(domain, nodes)| (domain, choose_lenders(&nodes))).collect()
     }
 
-    /// Whether a node is an owner in its failure domain; one that is not known counts as none.
+    /// Whether a node is an owner in its failure domain; `false` if the node is not known.
     fn is_owner(&self, node: &NodeId) -> bool {
         let strongest = self.find_strongest();
         let entry = self.nodes.get(node);
@@ -254,7 +257,7 @@
         gathered.flat_map(|route| route.services()).cloned().collect()
     }
 
-    /// The view of all this.
+    /// Builds the view that requests read.
     pub(crate) fn build_view(&self, place: &ClusterPlace) -> ClusterView {
         let mut services: HashMap<ServiceName, Service> = HashMap::new();
         let shards = self.find_shards();
@@ -262,8 +265,8 @@
             let make = || {
                 let name = server.service.clone();
                 let (is_shard, budget) = (shards.contains(&name), self.budgets.get(&name).cloned());
-                let line = self.queues.get(&name).cloned();
-                Service::new(name, is_shard, budget.unwrap_or_default(), line)
+                let queue = self.queues.get(&name).cloned();
+                Service::new(name, is_shard, budget.unwrap_or_default(), queue)
             };
             services.entry(server.service.clone()).or_insert_with(make).add(server.clone());
         }
--- a/crates/router/src/cluster_view.rs
+++ b/crates/router/src/cluster_view.rs
@@ -1,4 +1,4 @@
-//! What one request works with: the routes in force and the servers and nodes known then.
+//! The immutable view of the cluster that one request works with: active routes and the known servers and nodes.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -21,29 +21,30 @@
 use crate::settings::ColdCallSettings;
 use crate::times::CallTimes;
 
-/// Servers of a shard from which on the measured pace chooses among them: between two a second call tells as much. A
-/// node calls a service that answers alone too seldom, and its work spreads too widely, to tell a pace from luck.
+/// The least number of a shard's servers for which the measured pace is used to choose among them: between two
+/// servers, a second call tells as much. Services that are not shards are excluded: a node calls them too rarely and
+/// their service times vary too much to tell a server's pace from chance.
 const MIN_COMPARABLE: usize = 3;
-/// Nodes counted on while none is known.
+/// The number of nodes assumed while none is known.
 const ASSUMED_NODES: usize = 8;
 
-/// A service with its servers. They are reached only through [`Service::usable`], so that no way of
-/// choosing one can pass over what bars it.
+/// A service with its servers. A server for a request is only chosen from [`Service::usable`], so that no choice can
+/// bypass an exclusion.
 pub struct Service {
     name: ServiceName,
     servers: Vec<Arc<Server>>,
-    /// Failure domains that have any of them.
+    /// Failure domains that have any of the servers.
     domains: BTreeSet<FailureDomain>,
-    /// Whether it is a shard of a route.
+    /// Whether the service is a shard of a route.
     is_shard: bool,
-    /// Whether it has, or had until some left, enough servers to choose among them by their measured pace.
+    /// Whether there are, or were until some left, enough servers to choose among them by measured pace.
     is_comparable: bool,
     budget: Arc<Mutex<ExtraBudget>>,
     queue: Option<Arc<CallLine>>,
 }
 
 impl Service {
-    /// A service without servers, with what was spent on it.
+    /// Creates a service without servers, with the extra calls used so far and the queue of its calls, if it has one.
     pub(crate) fn new(
         name: ServiceName,
         is_shard: bool,
@@ -60,98 +61,102 @@
         self.servers.push(server);
     }
 
-    /// The servers that a request with these homes may be sent to.
-    pub fn usable<'a>(&'a self, now: Moment, homes: &'a AllowedRegions) -> impl Iterator<Item = &'a Arc<Server>> {
-        self.servers.iter().filter(move |server| server.find_bar(now, homes).is_none())
+    /// The servers that a request with these allowed regions may be sent to.
+    pub fn usable<'a>(
+        &'a self,
+        now: Moment,
+        allowed_regions: &'a AllowedRegions,
+    ) -> impl Iterator<Item = &'a Arc<Server>> {
+        self.servers.iter().filter(move |server| server.find_bar(now, allowed_regions).is_none())
     }
 
-    /// Its servers, whatever bars them.
+    /// All servers, including excluded ones.
     pub(crate) fn all(&self) -> impl Iterator<Item = &Arc<Server>> {
         self.servers.iter()
     }
 
-    /// Whether it has, or had until some left, enough servers to choose among them by their measured pace.
+    /// Whether there are, or were until some left, enough servers to choose among them by measured pace.
     pub(crate) fn is_comparable(&self) -> bool {
         self.is_comparable
     }
 
-    /// How many of its servers are good ones now.
+    /// The number of servers, and of those that are neither doubtful, unreachable nor slow.
     pub(crate) fn health(&self, now: Moment) -> ServiceHealth {
         let is_good = |server: &&Arc<Server>| !server.is_doubtful() && !server.is_dark(now) && !server.is_slow(now);
         ServiceHealth { servers: self.servers.len(), good: self.servers.iter().filter(is_good).count() }
     }
 
-    /// Where its calls wait, if they do.
+    /// The queue of the service's calls, if it has one.
     pub fn queue(&self) -> Option<&Arc<CallLine>> {
         self.queue.as_ref()
     }
 
-    /// Whether a call of some request may find room at one of its servers.
+    /// Whether any of the servers may have capacity for one more call.
     pub fn has_capacity(&self, now: Moment) -> bool {
         let live = self.servers.iter().filter(|server| !server.is_leaving() && !server.is_dark(now));
         live.filter(|server| server.has_room(now)).any(|server| !server.state().is_avoided(now))
     }
 
-    /// How many of its servers each bar keeps requests with these homes from, for the log.
-    pub fn count_exclusions(&self, now: Moment, homes: &AllowedRegions) -> BTreeMap<ServerExclusion, usize> {
+    /// Counts the servers that a request with these allowed regions may not use by the reason of exclusion, for the log.
+    pub fn count_exclusions(&self, now: Moment, allowed_regions: &AllowedRegions) -> BTreeMap<ServerExclusion, usize> {
         let mut counts = BTreeMap::new();
-        for bar in self.servers.iter().filter_map(|server| server.find_bar(now, homes)) {
-            *counts.entry(bar).or_default() += 1;
+        for exclusion in self.servers.iter().filter_map(|server| server.find_bar(now, allowed_regions)) {
+            *counts.entry(exclusion).or_default() += 1;
         }
         counts
     }
 
-    /// Extra calls spent on it by this node.
+    /// The budget of this node's extra calls to the service.
     pub fn budget(&self) -> MutexGuard<'_, ExtraBudget> {
         self.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Latencies of one route's calls to servers.
+/// The measured latencies of one route's calls to servers.
 pub type RouteLatencies = Arc<CallTimes>;
 
-/// Nodes of a failure domain.
+/// The number of nodes of a failure domain.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct NodeCount {
-    /// All of them.
+    /// All nodes.
     pub all: usize,
-    /// Its owners.
+    /// The owners among them.
     pub owners: usize,
 }
 
-/// What one request works with.
+/// The state of the cluster at one time.
 pub struct ClusterView {
-    /// The routes in force, once there are any.
+    /// The active routes; `None` until there are any.
     pub table: Option<Arc<RouteTable>>,
     /// Services by name.
     pub services: HashMap<ServiceName, Service>,
-    /// How long calls waited lately.
+    /// Recent queueing times of calls.
     pub waits: Arc<CallWaits>,
-    /// Services that requests of different priority use.
+    /// Services used by routes of different priority.
     pub(crate) mixed_priority_services: Arc<HashSet<ServiceName>>,
-    /// Latencies by route.
+    /// Measured latencies by route.
     pub latencies: HashMap<RouteName, RouteLatencies>,
-    /// Turns of the services of a route, by route.
+    /// Selectors of the service for a request, by split route.
     pub(crate) split_selectors: HashMap<RouteName, Arc<SplitSelector>>,
-    /// Nodes by failure domain, this one included; also those that were there until lately.
+    /// Number of nodes by failure domain, including this one and nodes that left recently.
     pub nodes: HashMap<FailureDomain, NodeCount>,
     /// Whether this node is an owner in its failure domain.
     pub is_owner: bool,
-    /// Nodes that this one keeps links to.
+    /// Nodes that this one stays connected to.
     pub peers: Vec<Arc<PeerNode>>,
-    /// The nodes of each failure domain that give credit; none where no team is limited.
+    /// The nodes that grant credit in each failure domain; empty if no team has a limit.
     pub(crate) granters: BTreeMap<FailureDomain, Vec<NodeEntry>>,
-    /// The owners of this node's failure domain by name, also those that were there until lately.
+    /// The owners of this node's failure domain, sorted by name, including those that left recently.
     pub near_owners: Vec<NodeId>,
 }
 
 impl ClusterView {
-    /// The turns of a route's services, if there are several.
+    /// The selector of a route that is split over several services.
     pub fn split_selector(&self, route: &RouteName) -> Option<&SplitSelector> {
         self.split_selectors.get(route).map(|selector| &**selector)
     }
 
-    /// Nodes that share what is divided among all of them.
+    /// The number of nodes among which shared limits are divided.
     pub fn node_count(&self) -> usize {
         match self.nodes.values().map(|count| count.all).sum() {
             0 => ASSUMED_NODES,
@@ -159,7 +164,7 @@
         }
     }
 
-    /// This node's part of an allowance of extra calls to a service.
+    /// This node's part of the fleet's allowance of extra calls to a service.
     pub fn divide_allowance(&self, allowance: f64, service: &Service, node: &NodeId) -> f64 {
         let owners_of = |domain: &FailureDomain| self.nodes.get(domain).map_or(0, |count| count.owners);
         let nodes = BudgetNodes {
@@ -176,8 +181,8 @@
         divide_allowance(allowance, service.name.as_str(), nodes, node)
     }
 
-    /// Finds the services that are, or were in the view before, wide enough to choose by measured pace: the servers that
-    /// are left when others go must be told apart most of all.
+    /// Marks the shards that have enough servers to choose among them by measured pace, or had in the previous view: when
+    /// others leave, telling the remaining servers apart matters most.
     pub(crate) fn mark_comparable(&mut self, before: &Self) {
         for (name, service) in &mut self.services {
             let was_comparable = before.services.get(name).is_some_and(|service| service.is_comparable);
@@ -186,25 +191,25 @@
         }
     }
 
-    /// Tells each server how many connections this node may have to it, and how many calls it may make
-    /// while the server is cold.
+    /// Sets for each server how many connections this node may open to it, and how many calls per second this node may
+    /// make while the server is warming up.
     pub(crate) fn assign_shares(&self, node: &NodeId, cold_calls: Option<ColdCallSettings>) {
         for service in self.services.values() {
             service.servers.iter().for_each(|server| server.state().set_comparable(service.is_comparable));
         }
         for server in self.services.values().flat_map(|service| &service.servers) {
             server.set_share(self.connection_share(server));
-            server.set_cold_share(cold_calls.and_then(|cold| self.cold_share(server, node, cold)));
+            server.set_cold_share(cold_calls.and_then(|limit| self.warmup_quota(server, node, limit)));
         }
     }
 
-    /// Calls a second that this node may make to a server while it is cold, if they are bounded.
-    fn cold_share(&self, server: &Server, node: &NodeId, cold: ColdCallSettings) -> Option<u32> {
+    /// Calls per second that this node may make to a server that is warming up; `None` if they are not limited.
+    fn warmup_quota(&self, server: &Server, node: &NodeId, limit: ColdCallSettings) -> Option<u32> {
         let rate = self.table.as_ref()?.service(&server.service)?.warmup_rate?;
         if server.distance != Distance::Domain {
             return Some(0);
         }
-        let bound = ColdBound { rate, excess: cold.excess, allowance: cold.allowance };
+        let bound = ColdBound { rate, excess: limit.excess, allowance: limit.allowance };
         let owners: Vec<&str> = self.near_owners.iter().map(NodeId::as_str).collect();
         Some(cold_call_quota(bound, &owners, node.as_str(), server.id.as_str()))
     }
@@ -216,10 +221,10 @@
         let owners = self.nodes.values().map(|count| count.owners).sum::<usize>();
         let nodes = NodeCounts { near: near.all, far: self.node_count() - near.all };
         let owners = NodeCounts { near: near.owners, far: owners - near.owners };
-        divide_connections(spec.max_connections, nodes, owners, self.caller_kind(server))
+        divide_connections(spec.max_connections, nodes, owners, self.node_role(server))
     }
 
-    fn caller_kind(&self, server: &Server) -> NodeRole {
+    fn node_role(&self, server: &Server) -> NodeRole {
         NodeRole { is_near: server.distance == Distance::Domain, is_owner: self.is_owner }
     }
 }
--- a/crates/router/src/error.rs
+++ b/crates/router/src/error.rs
@@ -1,32 +1,33 @@
-//! Errors of the router.
+//! Errors at the router's start and in exchanges with servers.
 
 use std::net::SocketAddr;
 
-/// Why a router did not start.
+/// Why a router failed to start.
 #[derive(Debug, thiserror::Error)]
 pub enum RouterError {
-    /// A port could not be opened.
+    /// A listening socket could not be opened.
     #[error("listening for {port} on {address}: {source}")]
     Listen {
-        /// Which port.
+        /// What the port is for.
         port: &'static str,
-        /// Where.
+        /// The address and port.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// How an exchange with a server failed.
+/// Why an exchange with a server failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
-    /// No byte of the request went out.
+    /// No byte of the request was sent.
     #[error("not sent")]
     NotSent,
-    /// The request went out and the connection ended before any of its answer; it may have run.
+    /// The connection ended after the request was sent and before any byte of the answer; the server may have executed
+    /// the request.
     #[error("connection lost")]
     ConnectionLost,
-    /// A part of the answer came back, and not the rest or nothing that is one.
-    #[error("answer lost")]
+    /// The answer is incomplete, too large or not valid HTTP.
+    #[error("answer incomplete or malformed")]
     AnswerLost,
 }
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -1,4 +1,4 @@
-//! Follows routes, servers and nodes in the platform's store.
+//! Watches the topics of the platform's store and applies their changes to this node's cluster state.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,32 +15,32 @@
 use crate::store_call::{self, CallReason};
 use crate::store_turn::{choose_pause, is_refused_by};
 
-/// Pauses after changes, in which more of them may come that one call then brings. A server
-/// that leaves must get no request 3 s after; nodes matter little from one second to the next.
-const SERVERS_PAUSE: Duration = Duration::from_millis(200);
-const NODES_PAUSE: Duration = Duration::from_millis(3_000);
-/// How long newer routes that another node has may take to arrive here as well, before they are
-/// asked for.
-const NEWER_WITHIN: Duration = Duration::from_millis(150);
+/// Delay after a change before the next watch, so that one call returns all changes of that time. The limit for
+/// requests to a server that has left is 3 s; changes of nodes are not urgent.
+const SERVERS_COALESCING_DELAY: Duration = Duration::from_millis(200);
+const NODES_COALESCING_DELAY: Duration = Duration::from_millis(3_000);
+/// How long this node waits for newer routes that another node already has before it reads them from the store.
+const CATCH_UP_DELAY: Duration = Duration::from_millis(150);
 
-/// What is known of one topic's feed.
-struct FeedFollower {
+/// The state of watching one topic.
+struct TopicWatcher {
     router: Arc<Router>,
     topic: FeedTopic,
+    /// The position of the next watch; `None` if the topic has to be listed first.
     position: Option<FeedPosition>,
     failures: u32,
-    /// Whether the next listing may be stale: the history that a stale one needs may be gone.
+    /// Whether the next listing may be stale. It may not once the history that follows a stale listing was gone.
     may_be_stale: bool,
-    /// Why the topic is listed next.
+    /// The reason recorded for the next listing.
     list_reason: CallReason,
 }
 
-/// Follows a topic in the store until the node ends, whenever no other node is followed.
+/// Watches a topic in the store while the store is this node's source of updates, until the node ends.
 pub async fn follow(router: Arc<Router>, topic: FeedTopic) {
     let mut source = router.source.subscribe();
     // The sender lives as long as the router, so waiting for it cannot fail.
     while source.wait_for(|source| *source == FeedSource::Store).await.is_ok() {
-        let mut follower = FeedFollower {
+        let mut watcher = TopicWatcher {
             router: router.clone(),
             topic,
             position: None,
@@ -49,39 +49,39 @@
             list_reason: CallReason::Begin,
         };
         tokio::select! {
-            () = follower.run() => {}
+            () = watcher.run() => {}
             () = wait_resumed(&router) => router.set_followed(topic, false),
-            // What makes one connection to the store fall silent does so to all of them.
-            () = wait_servers_lost(&router), if topic.relies_on_servers() => {}
+            // A fault that silences one connection to the store silences all of them.
+            () = wait_servers_watch_lost(&router), if topic.relies_on_servers() => {}
             _ = source.wait_for(|source| *source != FeedSource::Store) => {}
         }
     }
 }
 
-/// Waits until the machine was suspended.
+/// Waits until the machine resumes from a suspension.
 pub(crate) async fn wait_resumed(router: &Router) {
-    let mut woken = router.woken.subscribe();
-    // The sender lives as long as the router.
-    let _ = woken.changed().await;
+    let mut resumed = router.woken.subscribe();
+    // The sender lives as long as the router, so this cannot fail.
+    let _ = resumed.changed().await;
 }
 
-/// Waits until servers' entries are not followed any more, whose watch is soon known to be silent.
-async fn wait_servers_lost(router: &Router) {
+/// Waits until the watch of servers is lost, which detects a silent connection sooner than other watches do.
+async fn wait_servers_watch_lost(router: &Router) {
     let mut changed = router.feed_changed.subscribe();
     for is_followed in [true, false] {
         while router.is_followed(FeedTopic::Servers) != is_followed {
-            // The sender lives as long as the router.
+            // The sender lives as long as the router, so this cannot fail.
             let _ = changed.changed().await;
         }
     }
 }
 
-/// Reads the routes from the store when another node has newer ones that do not arrive. While the
-/// store is away the other nodes are asked for them instead.
+/// Reads the routes from the store when another node has newer ones that do not arrive here. While the store is
+/// unavailable, other nodes are queried for them instead.
 pub async fn catch_up(router: Arc<Router>) {
     loop {
         router.newer_routes.notified().await;
-        tokio::time::sleep(NEWER_WITHIN).await;
+        tokio::time::sleep(CATCH_UP_DELAY).await;
         if !router.is_behind() || !router.is_followed(FeedTopic::Routes) {
             continue;
         }
@@ -90,7 +90,7 @@
         match store_call::make(FeedTopic::Routes, CallReason::Behind, list).await {
             Ok(list) => {
                 router.cluster.replace(router.clock.now(), list.items.clone(), FeedTopic::Routes, UpdateOrigin::Store);
-                // Who follows this node would not hear of them: what it has, its own reader leaves out.
+                // Followers of this node get these routes only from here: its own reader omits what this node has.
                 router.relay_publisher.publish(|| RelayFrame::Listed(FeedTopic::Routes, list.items));
             }
             Err(error) => tracing::warn!(event = "routes_not_read", %error),
@@ -98,7 +98,7 @@
     }
 }
 
-impl FeedFollower {
+impl TopicWatcher {
     async fn run(&mut self) {
         loop {
             match self.step().await {
@@ -118,107 +118,110 @@
         let Some(position) = self.position else { return self.list().await };
         let router = &self.router;
         let watch = router.feed.watch(self.topic, position, self.watch_wait(position));
-        let news = tokio::select! {
-            news = store_call::make(self.topic, CallReason::Watch, watch) => news?,
+        let update = tokio::select! {
+            update = store_call::make(self.topic, CallReason::Watch, watch) => update?,
             () = self.wait_overdue(position) => return Ok(position),
         };
-        if news.changes.is_empty() {
-            return Ok(news.position);
+        if update.changes.is_empty() {
+            return Ok(update.position);
         }
-        let position = news.position;
-        self.take_changes(news);
-        tokio::time::sleep(self.pause()).await;
+        let position = update.position;
+        self.apply_changes(update);
+        tokio::time::sleep(self.coalescing_delay()).await;
         Ok(position)
     }
 
-    /// Takes changes and passes them on. They are taken first: a node that begins to follow in between
-    /// has them twice, and the other way round it would miss them.
-    fn take_changes(&self, news: FeedChanges) {
+    /// Applies changes, then sends them to followers. In this order a node that starts to follow in between gets them
+    /// twice; in the reverse order it would miss them.
+    fn apply_changes(&self, update: FeedChanges) {
         let router = &self.router;
         if self.topic != FeedTopic::Evacuations {
-            router.cluster.apply(router.clock.now(), news.changes.clone(), self.topic, UpdateOrigin::Store);
-            router.relay_publisher.publish(|| RelayFrame::Changed(self.topic, news.changes));
+            router.cluster.apply(router.clock.now(), update.changes.clone(), self.topic, UpdateOrigin::Store);
+            router.relay_publisher.publish(|| RelayFrame::Changed(self.topic, update.changes));
         } else if let Some(known) = router.cluster.evacuations() {
-            self.take_evacuations(known.with_changes(&news.changes, news.position));
+            self.apply_evacuations(known.with_changes(&update.changes, update.position));
         }
     }
 
-    fn take_list(&self, list: FeedList) {
+    fn apply_list(&self, list: FeedList) {
         let router = &self.router;
         if self.topic == FeedTopic::Evacuations {
-            return self.take_evacuations(EvacuationList::from_list(&list));
+            return self.apply_evacuations(EvacuationList::from_list(&list));
         }
         if matches!(self.topic, FeedTopic::Servers | FeedTopic::Nodes) {
-            return self.take_entries(list);
+            return self.apply_entries(list);
         }
         router.cluster.replace(router.clock.now(), list.items.clone(), self.topic, UpdateOrigin::Store);
         router.relay_publisher.publish(|| RelayFrame::Listed(self.topic, list.items));
     }
 
-    /// Takes all servers or nodes, and passes on what was not known before.
-    fn take_entries(&self, list: FeedList) {
+    /// Applies a listing of servers or nodes and sends followers what was not known before.
+    fn apply_entries(&self, list: FeedList) {
         let router = &self.router;
         let known = KnownEntries::of(router).digest(router.cluster.version());
         router.cluster.replace(router.clock.now(), list.items, self.topic, UpdateOrigin::Store);
-        router
-            .relay_publisher
-            .publish(|| RelayFrame::Snapshot(Box::new(RelaySnapshot::make(router, &KnownEntries::of(router), &known))));
+        router.relay_publisher.publish(|| {
+            RelayFrame::Snapshot(Box::new(RelaySnapshot::build(router, &KnownEntries::of(router), &known)))
+        });
     }
 
-    fn take_evacuations(&self, list: EvacuationList) {
+    fn apply_evacuations(&self, list: EvacuationList) {
         let router = &self.router;
         router.cluster.offer_evacuations(router.clock.now(), list.clone(), UpdateOrigin::Store);
         router.relay_publisher.publish(|| RelayFrame::Evacuations(list));
     }
 
-    /// A watch goes on from what a stale listing shows, so nothing of crashes is missed by it. Other topics
-    /// are listed where much depends on the moment.
+    /// How current the next listing must be. For crashes a stale listing loses nothing, since the watch continues from
+    /// its position; other topics need the current state at once.
     fn list_age(&self) -> ListAge {
         if self.may_be_stale { ListAge::MayBeStale } else { ListAge::Fresh }
     }
 
-    /// How long a watch waits in the store. Nodes matter little from one second to the next, and for crashes the watch
-    /// of servers tells that connections fell silent. That one is renewed as often as the settings say; routes and
-    /// evacuations rely on what it tells.
+    /// How long a watch waits in the store for changes. The watch of servers is renewed at the interval in the settings
+    /// and so detects silent connections for the other topics. Routes and evacuations choose their timeout from its
+    /// progress. Changes of nodes are not urgent, and crashes rely on the watch of servers, so both wait longest.
     fn watch_wait(&self, position: FeedPosition) -> Duration {
         match self.topic {
             FeedTopic::Servers => self.router.settings.silence_within.0,
-            FeedTopic::Routes | FeedTopic::Evacuations => watch_timeout::choose_timeout(&self.watch_ask(position)),
+            FeedTopic::Routes | FeedTopic::Evacuations => watch_timeout::choose_timeout(&self.watch_progress(position)),
             FeedTopic::Nodes | FeedTopic::Crashes => watch_timeout::MAX_TIMEOUT,
         }
     }
 
-    fn watch_ask(&self, position: FeedPosition) -> WatchProgress {
-        let told = self.router.told_position.borrow().0;
+    fn watch_progress(&self, position: FeedPosition) -> WatchProgress {
+        let reported = self.router.told_position.borrow().0;
         WatchProgress {
             topic_revision: position.0,
-            store_revision: told,
+            store_revision: reported,
             silence_within: self.router.settings.silence_within.0,
         }
     }
 
-    /// Waits until a watch that has just begun is to be begun anew, since its connection may have fallen silent.
+    /// Waits until a watch that has just started must be restarted because its connection may be silent.
     async fn wait_overdue(&self, position: FeedPosition) {
-        let relies = matches!(self.topic, FeedTopic::Routes | FeedTopic::Evacuations);
-        let ask = self.watch_ask(position);
-        // A short one ends by itself.
-        if !relies || watch_timeout::choose_timeout(&ask) <= ask.silence_within {
+        let has_adaptive_timeout = matches!(self.topic, FeedTopic::Routes | FeedTopic::Evacuations);
+        let progress = self.watch_progress(position);
+        // A short watch ends by itself.
+        if !has_adaptive_timeout || watch_timeout::choose_timeout(&progress) <= progress.silence_within {
             return std::future::pending().await;
         }
-        tokio::time::sleep(ask.silence_within).await;
-        let mut told = self.router.told_position.subscribe();
-        let is_overdue = |told: &FeedPosition| {
-            watch_timeout::is_overdue(&WatchProgress { store_revision: told.0, ..ask }, ask.silence_within)
+        tokio::time::sleep(progress.silence_within).await;
+        let mut reported = self.router.told_position.subscribe();
+        let is_overdue = |reported: &FeedPosition| {
+            watch_timeout::is_overdue(
+                &WatchProgress { store_revision: reported.0, ..progress },
+                progress.silence_within,
+            )
         };
-        // The sender lives as long as the router.
-        let _ = told.wait_for(is_overdue).await;
+        // The sender lives as long as the router, so this cannot fail.
+        let _ = reported.wait_for(is_overdue).await;
     }
 
-    fn pause(&self) -> Duration {
+    fn coalescing_delay(&self) -> Duration {
         match self.topic {
             FeedTopic::Routes | FeedTopic::Evacuations | FeedTopic::Crashes => Duration::ZERO,
-            FeedTopic::Servers => SERVERS_PAUSE,
-            FeedTopic::Nodes => NODES_PAUSE,
+            FeedTopic::Servers => SERVERS_COALESCING_DELAY,
+            FeedTopic::Nodes => NODES_COALESCING_DELAY,
         }
     }
 
@@ -227,7 +230,7 @@
         let list = router.feed.list(self.topic, self.list_age());
         let list = router.store_turn.call(store_call::make(self.topic, self.list_reason, list)).await?;
         let position = list.position;
-        self.take_list(list);
+        self.apply_list(list);
         Ok(position)
     }
 
@@ -247,13 +250,12 @@
         }
         metrics::counter!("streamfold_feed_failures_total").increment(1);
         self.router.set_followed(self.topic, false);
-        // What changed while a watch was cut may be hidden from the next one, so everything is
-        // listed again.
+        // The next watch may not report changes from the time of the failure, so the topic is listed again.
         self.position = None;
         self.list_reason = CallReason::AfterFailure;
         self.failures += 1;
         if is_refused_by(error) {
-            // The next call waits for its turn, also where this one was a watch.
+            // Also after a failed watch, calls go one at a time until the store accepts them again.
             self.router.store_turn.doubt();
         } else {
             tokio::time::sleep(choose_pause(self.failures - 1)).await;
@@ -261,7 +263,7 @@
     }
 }
 
-/// Registers this node for the others, however often it takes.
+/// Registers this node for the others; retries until it succeeds.
 pub async fn announce(router: &Router) {
     let entry = router.own_entry();
     let mut failures = 0;
--- a/crates/router/src/interface.rs
+++ b/crates/router/src/interface.rs
@@ -1,5 +1,5 @@
-//! What the router needs of a platform, as traits: how calls are written and read, and where
-//! routes, servers and other nodes are learnt from.
+//! The interface between the router and a platform: traits for the format of calls and for the source of routes,
+//! servers and nodes.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -13,33 +13,33 @@
 };
 use streamfold_store::StoreError;
 
-/// A future that a trait object returns.
+/// The boxed future that a [`ClusterFeed`] returns.
 pub type FeedFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, StoreError>> + Send + 'a>>;
 
-/// What a caller's headers say.
+/// The fields that the router reads from a caller's headers.
 #[derive(Debug, Clone)]
 pub struct CallerHead {
-    /// The id of this request; servers and logs have the same.
+    /// The request id, also sent to servers and written to logs.
     pub request: HeaderValue,
-    /// How long the caller waits, from when its request was read.
+    /// How long the caller waits, counted from the time its request was read.
     pub deadline: Option<Duration>,
-    /// The key it shows.
+    /// The API key in the request.
     pub key: PresentedKey,
 }
 
-/// The key that a caller shows.
+/// The API key that a request carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PresentedKey {
-    /// None at all.
+    /// The request has no key.
     None,
-    /// None that can be read, or several.
+    /// The key cannot be read, or there are several.
     Malformed,
-    /// This one.
+    /// The digest of the key.
     Key(KeyDigest),
 }
 
 impl PresentedKey {
-    /// What it is, for the log; never anything of the key itself.
+    /// The variant's name for the log, which never contains any part of the key.
     pub fn name(self) -> &'static str {
         match self {
             Self::None => "none",
@@ -49,108 +49,110 @@
     }
 }
 
-/// Why a caller's headers cannot be used.
+/// Why a caller's headers are rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
-    /// There is no request id.
-    #[error("the request has no id")]
+    /// The request id is missing.
+    #[error("the request id is missing")]
     NoRequest,
     /// The deadline is not a number of milliseconds.
     #[error("the deadline is not a number of milliseconds")]
     BadDeadline,
 }
 
-/// A server's load as it told it.
+/// The load that a server reports.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServerLoad {
-    /// Requests it works on.
+    /// Requests that the server is processing.
     pub running: u32,
-    /// Requests waiting in its queue.
+    /// Requests in the server's queue.
     pub waiting: u32,
-    /// Requests it can work on at the same time.
+    /// Requests that the server can process at the same time.
     pub slots: u32,
-    /// How many times as long as usual work takes there now, if it tells.
+    /// Current service time as a multiple of the usual one, if reported.
     pub pace: Option<f64>,
 }
 
-/// What the headers of a server's answer say.
+/// The fields that the router reads from the headers of a server's answer.
 #[derive(Debug, Clone)]
 pub struct ReplyHead {
     /// Whether the answer carries the id of the request it answers.
     pub has_matching_id: bool,
-    /// Whether the server says that it did not run the request.
+    /// Whether the server states that it did not execute the request.
     pub is_not_run: bool,
-    /// Whether another server than the wanted one answered.
+    /// Whether a server other than the one addressed answered.
     pub is_other_server: bool,
-    /// Whether the body was transformed on the way and is not the server's own.
+    /// Whether an intermediary transformed the body, so that it is not what the server sent.
     pub is_encoded: bool,
-    /// The server's proof that it ran the request.
+    /// The server's proof that it executed the request.
     pub proof: Option<HeaderValue>,
-    /// Its load.
+    /// The load that the server reports.
     pub load: Option<ServerLoad>,
-    /// How much longer it is cold, if it tells.
+    /// Remaining warm-up time of the server, if reported.
     pub warmup_left: Option<Duration>,
     /// Whether the server closes the connection after this answer.
     pub is_closing: bool,
-    /// How long the connection may rest before the server closes it.
+    /// How long the connection may stay idle before the server closes it.
     pub keep_alive: Option<Duration>,
 }
 
-/// How requests and answers carry what the router must know.
+/// The headers by which requests and answers carry what the router needs.
 pub trait CallFormat: Send + Sync {
-    /// Reads a caller's headers.
+    /// Parses a caller's headers.
     ///
     /// # Errors
-    /// The request cannot be identified or its deadline cannot be read.
+    /// The request id is missing or the deadline cannot be parsed.
     fn read_caller(&self, headers: &HeaderMap) -> Result<CallerHead, HeadError>;
 
-    /// Takes a caller's key, and what it says of its team, out of the headers of its request, and names
-    /// the team that the request is of.
+    /// Removes the API key and any team that the caller claims from the request's headers, and sets the team that the
+    /// router has established.
     fn write_team(&self, headers: &mut HeaderMap, team: Option<&TeamName>);
 
-    /// Fills in what a call to one server carries besides the caller's own headers.
+    /// Adds the headers that a call to one server carries besides the caller's own; `left` is the time until the
+    /// request's deadline.
     fn write_call(&self, headers: &mut HeaderMap, server: &ServerId, left: Duration);
 
-    /// Reads the headers of a server's answer to a request.
+    /// Parses the headers of a server's answer to a request.
     fn read_reply(&self, request: &HeaderValue, status: StatusCode, headers: &HeaderMap) -> ReplyHead;
 
-    /// Fills in what an answer folded of several shards says about them.
+    /// Adds the headers of an answer gathered from several shards: the proof of each one and the number of missing ones.
     fn write_gathered(&self, headers: &mut HeaderMap, proofs: &[HeaderValue], missing: usize);
 
-    /// Fills in when a refused caller may come back.
+    /// Adds the header that tells a refused caller when to retry.
     fn write_retry(&self, headers: &mut HeaderMap, wait: Duration);
 
-    /// The path at which the platform asks whether this node is ready.
+    /// The path of the platform's readiness check.
     fn ready_path(&self) -> &'static str;
 }
 
-/// What can be followed in the platform's store.
+/// A kind of entry that can be watched in the platform's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum FeedTopic {
-    /// The routes, whole.
+    /// The route table, always as a whole.
     Routes,
-    /// Servers' entries.
+    /// Entries of servers.
     Servers,
-    /// Nodes' entries.
+    /// Entries of nodes.
     Nodes,
     /// Failure domains that the operator has evacuated.
     Evacuations,
-    /// Contents that ended servers.
+    /// Request contents that crashed servers.
     Crashes,
 }
 
 impl FeedTopic {
-    /// Every topic, by the order of the type.
+    /// All topics in declaration order.
     pub const ALL: [Self; 5] = [Self::Routes, Self::Servers, Self::Nodes, Self::Evacuations, Self::Crashes];
 }
 
 impl FeedTopic {
-    /// Whether its watch waits for so long that the one of servers must tell that connections fell silent.
+    /// Whether this topic's watch waits so long that only the watch of servers shows in time that connections to the
+    /// store have stopped delivering.
     pub fn relies_on_servers(self) -> bool {
         matches!(self, Self::Routes | Self::Evacuations | Self::Crashes)
     }
 
-    /// Its name in counters and logs.
+    /// The name in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Routes => "routes",
@@ -168,107 +170,106 @@
     }
 }
 
-/// One thing of a topic.
+/// One entry of a topic.
 #[derive(Debug, Clone, Encode, Decode)]
 pub enum FeedItem {
-    /// A version of the routes.
+    /// A version of the route table.
     Routes(Box<RouteTable>),
     /// A server.
     Server(ServerEntry),
     /// A node.
     Node(NodeEntry),
-    /// A failure domain that is evacuated.
+    /// An evacuated failure domain.
     Evacuation(FailureDomain),
-    /// A content that ended servers.
+    /// A request content that crashed servers.
     Crash(CrashEntry),
 }
 
-/// What is gone of a topic.
+/// An entry that was removed from a topic.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct RemovedEntry {
-    /// Its name.
+    /// The name of the entry.
     pub name: String,
-    /// Which run of a server it was the entry of; 0 for any, and for all that is no server.
+    /// The run of the server that the entry belonged to; 0 for any run and for entries that are not servers.
     pub start: ServerStart,
 }
 
 impl RemovedEntry {
-    /// The thing of a name, whatever it was.
+    /// The entry of this name, whichever run it belonged to.
     pub fn any(name: String) -> Self {
         Self { name, start: ServerStart(0) }
     }
 }
 
-/// A change of a topic.
+/// A change to a topic.
 #[derive(Debug, Clone, Encode, Decode)]
 pub enum FeedChange {
-    /// Something is there or has changed.
+    /// An entry was added or changed.
     Put(FeedItem),
-    /// The thing of this name is gone, or cannot be read any more.
+    /// The entry is gone or can no longer be parsed.
     Removed(RemovedEntry),
 }
 
-/// The position in a topic's history up to which something is known.
+/// A position in the store's history, up to which a topic is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Encode, Decode)]
 pub struct FeedPosition(pub u64);
 
-/// The revision of an entry, a condition on its replacement.
+/// The revision of an entry, used for conditional writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EntryRevision(pub u64);
 
-/// All of a topic at one position.
+/// All entries of a topic at one position.
 #[derive(Debug, Clone)]
 pub struct FeedList {
-    /// What is there.
+    /// The entries.
     pub items: Vec<FeedItem>,
-    /// The position it shows.
+    /// The position of the listing.
     pub position: FeedPosition,
 }
 
-/// What changed up to a position.
+/// The changes of a topic up to a position.
 #[derive(Debug, Clone)]
 pub struct FeedChanges {
     /// The changes, in order.
     pub changes: Vec<FeedChange>,
-    /// The position up to which they go.
+    /// The position after the last change.
     pub position: FeedPosition,
 }
 
-/// How old a listing may be.
+/// How current a listing must be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListAge {
-    /// As the store is now.
+    /// The store's current state.
     Fresh,
-    /// As it may have been seconds ago, which costs the platform less.
+    /// A state that may be seconds old, which costs the platform less.
     MayBeStale,
 }
 
-/// Where routes, servers and nodes are learnt from. Entries that cannot be read are logged by
-/// the adapter and left out.
+/// The source of routes, servers and nodes. The implementation logs and skips entries that cannot be parsed.
 pub trait ClusterFeed: Send + Sync {
-    /// Reads all of a topic.
+    /// Lists all entries of a topic.
     fn list(&self, topic: FeedTopic, age: ListAge) -> FeedFuture<'_, FeedList>;
 
-    /// All of a topic as it may have been seconds ago, if that fits in one answer of the store; `None` if it is more.
+    /// Lists all entries of a topic, possibly seconds old; `None` if they do not fit in one answer of the store.
     fn list_one_page(&self, topic: FeedTopic) -> FeedFuture<'_, Option<FeedList>>;
 
-    /// Waits for changes after a position, at most `wait`.
+    /// Waits up to `wait` for changes after a position.
     fn watch(&self, topic: FeedTopic, after: FeedPosition, wait: Duration) -> FeedFuture<'_, FeedChanges>;
 
-    /// Registers this node for the others; `is_listed` tells that an entry of it is believed to be
-    /// there, which saves calls if it is so.
+    /// Registers this node for the others. `is_listed` is a hint that the node already has an entry, which saves calls
+    /// when it is right.
     fn announce<'a>(&'a self, entry: &'a NodeEntry, is_listed: bool) -> FeedFuture<'a, ()>;
 
-    /// Removes a node's entry, unless another run of the node has written its own.
+    /// Removes a node's entry, unless another run of the node has replaced it.
     fn withdraw<'a>(&'a self, entry: &'a NodeEntry) -> FeedFuture<'a, ()>;
 
-    /// Reads the entry of a content as it is now; `None` if there is none.
+    /// Reads the current entry of a content; `None` if it has none.
     fn read_crash(&self, content: ContentId) -> FeedFuture<'_, Option<(CrashEntry, EntryRevision)>>;
 
-    /// Writes the entry of a content in place of one revision of it, or of none; a conflict if it is
-    /// another one by now.
+    /// Writes the entry of a content if its revision is still `replaces`, or if it has no entry for `None`; otherwise
+    /// fails with a conflict.
     fn write_crash<'a>(&'a self, entry: &'a CrashEntry, replaces: Option<EntryRevision>) -> FeedFuture<'a, ()>;
 
-    /// Removes the entry of a content; fine if there is none.
+    /// Removes the entry of a content; succeeds if there is none.
     fn remove_crash(&self, content: ContentId) -> FeedFuture<'_, ()>;
 }
--- a/crates/router/src/knowledge.rs
+++ b/crates/router/src/knowledge.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of routes, servers and nodes while the platform's store is away.
+//! Queries between nodes for routes, servers and nodes while the platform's store is unavailable.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,45 +15,45 @@
 use crate::relay::{FeedSource, RelayFrame};
 use crate::router::Router;
 
-/// How often another node is asked while the store is away.
-const ASK_EVERY: Duration = Duration::from_millis(500);
-/// How long a node that has no source of news counts as just started.
-const START_TIME: Duration = Duration::from_millis(900);
-/// How long a node may take to tell.
-const ASK_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// The interval of queries to other nodes while the store is unavailable.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// How long a node without a source of updates counts as just started.
+const STARTUP_TIME: Duration = Duration::from_millis(900);
+/// The timeout of a query.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long a node may take to tell the nodes of a failure domain.
+/// The timeout of a query for the nodes of a failure domain.
 const NEIGHBOURS_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What a node does not know.
+/// A query for what the sending node does not know.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct KnowledgeRequest {
-    /// The version of the routes it has; only a newer one is of use.
+    /// The version of the sender's routes; only newer ones are returned.
     pub version: TableVersion,
-    /// What it has of servers and nodes, if it has no news of them.
+    /// The digest of the sender's servers and nodes, if it gets no updates of them.
     pub known: Option<KnownDigest>,
-    /// The node whose failure domain's nodes it wants to know, and nothing else.
+    /// A node: only the nodes of its failure domain are returned.
     pub neighbours_of: Option<NodeId>,
 }
 
-/// What another node knows.
+/// The reply to a [`KnowledgeRequest`].
 #[derive(Debug, Clone, Default, Encode, Decode)]
 pub struct KnowledgeReply {
-    /// Newer routes, if it has them.
+    /// Newer routes, if there are any.
     pub table: Option<RouteTable>,
-    /// Servers and nodes that the asking node lacks or has otherwise, if it wants them.
+    /// Servers and nodes of the failure domains in which they differ from the sender's, if it sent a digest.
     pub sections: Vec<DomainSection>,
-    /// The nodes of the failure domain that was asked for; none if the node is not known.
+    /// The nodes of the requested failure domain; empty if the node is not known.
     pub nodes: Vec<NodeEntry>,
-    /// The evacuated failure domains, if it knows them.
+    /// The evacuated failure domains, if known.
     pub evacuations: Option<EvacuationList>,
-    /// Contents that ended servers.
+    /// Request contents that crashed servers.
     pub crashes: Vec<CrashEntry>,
 }
 
-/// Answers another node.
+/// Answers a query of another node.
 pub fn answer(router: &Router, request: &KnowledgeRequest) -> KnowledgeReply {
-    // Who starts asks many nodes at once with hundreds of others, and has the rest from its reader.
+    // Nodes that start query at the same time as hundreds of others, and get the rest from their reader.
     if let Some(node) = &request.neighbours_of {
         return KnowledgeReply { nodes: router.cluster.neighbours_of(node), ..KnowledgeReply::default() };
     }
@@ -69,29 +69,29 @@
     }
 }
 
-/// Asks other nodes while the store is away, until the node ends.
+/// Queries other nodes while the store is unavailable, until the node ends.
 pub async fn poll_peers_in_outages(router: Arc<Router>) {
-    // The store is asked first.
+    // The delay comes first, since the store is tried before other nodes.
     loop {
-        tokio::time::sleep(ASK_EVERY.mul_f64(rand::random_range(0.8..1.2))).await;
-        // Nodes matter little from one second to the next.
+        tokio::time::sleep(POLL_INTERVAL.mul_f64(rand::random_range(0.8..1.2))).await;
+        // Changes of nodes are not urgent.
         if router.topics().all(|topic| topic == FeedTopic::Nodes || router.is_followed(topic)) {
             continue;
         }
-        // A node that has just been started waits for its reader: the others may have been started with it, and
-        // all of them would ask the few that the settings name for all servers at once.
-        if *router.source.borrow() == FeedSource::Undecided && router.uptime() < START_TIME {
+        // A node that has just started waits for its reader. The other nodes may have started with it, and all of them
+        // would query the few seeds for all servers at once.
+        if *router.source.borrow() == FeedSource::Undecided && router.uptime() < STARTUP_TIME {
             continue;
         }
         let Some(link) = choose_link(&router) else { continue };
-        if let Err(error) = ask(&router, &link).await {
+        if let Err(error) = query(&router, &link).await {
             tracing::debug!(event = "knowledge_failed", address = %link.address(), %error);
         }
     }
 }
 
-/// A node to ask: one that is connected or one that the settings name. Seeds are among them even
-/// while links are open, since all of those may be silent.
+/// Chooses a node to query at random from the connected nodes and the seeds, the nodes named in the settings. Seeds are
+/// included even while connections are open, since all of those may be silent.
 fn choose_link(router: &Router) -> Option<Arc<PeerLink>> {
     let view = router.cluster.view();
     let open: Vec<Arc<PeerLink>> =
@@ -101,22 +101,22 @@
     (count > 0).then(|| links[rand::random_range(0..count)].clone())
 }
 
-async fn ask(router: &Router, link: &Arc<PeerLink>) -> Result<(), PeerError> {
+async fn query(router: &Router, link: &Arc<PeerLink>) -> Result<(), PeerError> {
     let version = router.cluster.version();
     let known = (!router.is_followed(FeedTopic::Servers)).then(|| KnownEntries::of(router).digest(version));
     let request = KnowledgeRequest { version, known, neighbours_of: None };
-    let reply: KnowledgeReply = link.call(PATH_KNOWLEDGE, &request, ASK_TIMEOUT).await?;
+    let reply: KnowledgeReply = link.call(PATH_KNOWLEDGE, &request, QUERY_TIMEOUT).await?;
     if let Some(list) = reply.evacuations {
         router.cluster.offer_evacuations(router.clock.now(), list, UpdateOrigin::Peer);
     }
     let crashes = reply.crashes.into_iter().map(FeedItem::Crash).map(FeedChange::Put).collect();
     router.cluster.apply(router.clock.now(), crashes, FeedTopic::Crashes, UpdateOrigin::Peer);
-    // Servers first, since newer routes may name services that only the newer entries have.
-    take_entries(router, link, reply.sections);
+    // Servers come first, since newer routes may name services that only the newer entries have.
+    add_entries(router, link, reply.sections);
     if let Some(table) = reply.table
         && router.cluster.offer_table(table.clone(), UpdateOrigin::Peer)
     {
-        // Who follows this node would not hear of them: what it has, its own reader leaves out.
+        // Followers of this node get these routes only from here: its own reader omits what this node has.
         router
             .relay_publisher
             .publish(|| RelayFrame::Listed(FeedTopic::Routes, vec![FeedItem::Routes(Box::new(table))]));
@@ -124,15 +124,15 @@
     Ok(())
 }
 
-/// One of the nodes that the settings name; none if this is one of them itself.
+/// A random seed, one of the nodes named in the settings; `None` if this node is a seed itself or there are no seeds.
 pub fn choose_seed(router: &Router) -> Option<&Arc<PeerLink>> {
     let is_seed = router.settings.seeds.contains(&router.settings.peers);
     let count = router.seed_links.len();
     (count > 0 && !is_seed).then(|| &router.seed_links[rand::random_range(0..count)])
 }
 
-/// Learns the nodes of the own failure domain from another node; false if that one does not know
-/// even this one yet.
+/// Fetches the nodes of this node's failure domain from another node; returns false if the call fails or the other node
+/// does not know this one yet.
 pub async fn fetch_neighbours(router: &Router, link: &Arc<PeerLink>) -> bool {
     let own = router.settings.node.clone();
     let request = KnowledgeRequest { version: router.cluster.version(), known: None, neighbours_of: Some(own) };
@@ -143,17 +143,17 @@
             return false;
         }
     };
-    let knows_own = !reply.nodes.is_empty();
-    if knows_own {
+    let is_own_known = !reply.nodes.is_empty();
+    if is_own_known {
         let nodes = reply.nodes.into_iter().map(FeedItem::Node).map(FeedChange::Put).collect();
         router.cluster.apply(router.clock.now(), nodes, FeedTopic::Nodes, UpdateOrigin::Peer);
     }
-    knows_own
+    is_own_known
 }
 
-/// Adds servers and nodes that another node knows. None is removed: that the other node does
-/// not know one does not say that it is gone.
-fn take_entries(router: &Router, link: &PeerLink, sections: Vec<DomainSection>) {
+/// Adds servers and nodes that another node knows. None is removed: an entry that the other node lacks is not
+/// necessarily gone.
+fn add_entries(router: &Router, link: &PeerLink, sections: Vec<DomainSection>) {
     let (mut servers, mut nodes) = (Vec::new(), Vec::new());
     for section in sections {
         servers.extend(section.servers.unwrap_or_default());
--- a/crates/router/src/listing.rs
+++ b/crates/router/src/listing.rs
@@ -1,7 +1,8 @@
-//! What a node knows of routes, servers and nodes, as it is passed on: by sections, one a failure domain,
-//! of which only those are sent that the other node does not have just so.
+//! Snapshots of a node's routes, servers and nodes for another node, in one section per failure domain. Only the
+//! sections whose digest differs from the other node's are sent.
 //!
-//! Nodes that lose their reader begin anew with another one at the same moment, and have nearly all of what it knows.
+//! This keeps the load low when a reader is lost: all its followers subscribe to another reader at the same time, and
+//! they already have nearly all of its entries.
 
 use std::collections::BTreeMap;
 
@@ -13,46 +14,46 @@
 use crate::evacuation::EvacuationList;
 use crate::router::Router;
 
-/// What a node knows of one failure domain, in short. Two that are equal stand for the same entries.
+/// The digest of a node's entries of one failure domain. Equal digests stand for equal entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Encode, Decode)]
 pub struct SectionDigest {
     servers: u64,
     nodes: u64,
 }
 
-/// What a node knows, in short.
+/// The digest of a node's routes, servers and nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Encode, Decode)]
 pub struct KnownDigest {
-    /// The version of its routes.
+    /// The version of the node's routes.
     pub version: TableVersion,
     sections: BTreeMap<FailureDomain, SectionDigest>,
 }
 
-/// The entries of one failure domain; `None` where the other node has them already.
+/// The entries of one failure domain; `None` for entries that the receiver already has.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct DomainSection {
     /// The failure domain.
     pub domain: FailureDomain,
-    /// Its servers.
+    /// The servers in it.
     pub servers: Option<Vec<ServerEntry>>,
-    /// Its nodes.
+    /// The nodes in it.
     pub nodes: Option<Vec<NodeEntry>>,
 }
 
-/// All that a reader knows and the other node does not.
+/// Everything that a reader has and its follower lacks.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct RelaySnapshot {
-    /// The routes, if they are newer.
+    /// The routes, if newer than the follower's.
     pub table: Option<RouteTable>,
-    /// Every failure domain that has entries.
+    /// A section for every failure domain that has entries.
     pub sections: Vec<DomainSection>,
-    /// The evacuated failure domains, if it knows them.
+    /// The evacuated failure domains, if known.
     pub evacuations: Option<EvacuationList>,
-    /// Contents that ended servers.
+    /// Request contents that crashed servers.
     pub crashes: Vec<CrashEntry>,
 }
 
-/// The entries of one failure domain.
+/// The entries of one failure domain with their digest.
 #[derive(Debug, Clone, Default)]
 struct DomainEntries {
     servers: Vec<ServerEntry>,
@@ -60,12 +61,12 @@
     digest: SectionDigest,
 }
 
-/// What a node knows of servers and nodes at one moment, by failure domain.
+/// A node's entries of servers and nodes at one time, by failure domain.
 #[derive(Debug, Clone, Default)]
 pub struct KnownEntries(BTreeMap<FailureDomain, DomainEntries>);
 
 impl KnownEntries {
-    /// What this node knows now.
+    /// Copies this node's current entries.
     pub fn of(router: &Router) -> Self {
         let (servers, nodes) = router.cluster.entries(router.clock.now());
         let mut domains: BTreeMap<FailureDomain, DomainEntries> = BTreeMap::new();
@@ -83,27 +84,27 @@
         Self(domains)
     }
 
-    /// The same in short.
+    /// The digest of these entries and a version of the routes.
     pub fn digest(&self, version: TableVersion) -> KnownDigest {
         let sections = self.0.iter().map(|(domain, entries)| (domain.clone(), entries.digest));
         KnownDigest { version, sections: sections.collect() }
     }
 
-    /// The sections that another node needs to know the same.
+    /// The sections that another node with this digest needs to have the same entries.
     pub fn sections_for(&self, known: &KnownDigest) -> Vec<DomainSection> {
         let section = |(domain, entries): (&FailureDomain, &DomainEntries)| {
-            let has = known.sections.get(domain).copied().unwrap_or_default();
+            let other = known.sections.get(domain).copied().unwrap_or_default();
             DomainSection {
                 domain: domain.clone(),
-                servers: (has.servers != entries.digest.servers).then(|| entries.servers.clone()),
-                nodes: (has.nodes != entries.digest.nodes).then(|| entries.nodes.clone()),
+                servers: (other.servers != entries.digest.servers).then(|| entries.servers.clone()),
+                nodes: (other.nodes != entries.digest.nodes).then(|| entries.nodes.clone()),
             }
         };
         self.0.iter().map(section).collect()
     }
 
-    /// All servers and nodes by sections that were sent to this node, which has the others.
-    pub fn complete(mut self, sections: Vec<DomainSection>) -> (Vec<ServerEntry>, Vec<NodeEntry>) {
+    /// Completes the sections received by this node with its own entries, and returns all servers and nodes.
+    pub fn merge(mut self, sections: Vec<DomainSection>) -> (Vec<ServerEntry>, Vec<NodeEntry>) {
         let (mut servers, mut nodes) = (Vec::new(), Vec::new());
         for section in sections {
             let own = self.0.remove(&section.domain).unwrap_or_default();
@@ -116,14 +117,14 @@
 
 impl DomainEntries {
     fn digest(&self) -> SectionDigest {
-        // How much longer a server is cold changes from one moment to the next.
-        let coldness = |server: &ServerEntry| std::time::Duration::from_micros(u64::from(!server.warmup.is_zero()));
-        let servers = self.servers.iter().map(|server| ServerEntry { warmup: coldness(server), ..server.clone() });
+        // The remaining warm-up time changes all the time, so only whether there is any goes into the digest.
+        let warmup_flag = |server: &ServerEntry| std::time::Duration::from_micros(u64::from(!server.warmup.is_zero()));
+        let servers = self.servers.iter().map(|server| ServerEntry { warmup: warmup_flag(server), ..server.clone() });
         SectionDigest { servers: hash(&servers.collect::<Vec<_>>()), nodes: hash(&self.nodes) }
     }
 }
 
-/// The hash of some entries; 0 stands for none, and for those that cannot be encoded, which are always sent.
+/// The hash of entries. 0 stands for no entries and for entries that cannot be encoded.
 fn hash<T: Encode>(entries: &Vec<T>) -> u64 {
     if entries.is_empty() {
         return 0;
@@ -132,8 +133,8 @@
 }
 
 impl RelaySnapshot {
-    /// What another node needs to know the same as this one, which has these entries.
-    pub fn make(router: &Router, entries: &KnownEntries, known: &KnownDigest) -> Self {
+    /// Builds the snapshot that a node with the digest `known` needs to have the same state as this node.
+    pub fn build(router: &Router, entries: &KnownEntries, known: &KnownDigest) -> Self {
         let table = router.cluster.view().table.clone();
         let newer = table.filter(|table| table.version > known.version);
         Self {
--- a/crates/router/src/node_sweep.rs
+++ b/crates/router/src/node_sweep.rs
@@ -1,5 +1,5 @@
-//! Removes the entries of nodes that ended without removing them themselves, and registers this
-//! node again should its own entry have been removed while it was cut off.
+//! Removes the entries of nodes that ended without removing them, and registers this node again if its own entry was
+//! removed while it was partitioned from the others.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,17 +15,17 @@
 use crate::router::{Router, RouterPhase};
 use crate::store_call::{self, CallReason};
 
-/// Looks at the other nodes of the failure domain in the time until one counts as gone.
-const LOOKS: u32 = 6;
-/// How long a connection may take: a node nearby that lives answers in a millisecond.
-const CONNECT_WITHIN: Duration = Duration::from_millis(500);
+/// How often the other nodes of the failure domain are probed in the time after which an absent one counts as gone.
+const PROBES_PER_LIMIT: u32 = 6;
+/// The timeout of a connection attempt. A live node in the same failure domain accepts within a millisecond.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Looks after the entries of this failure domain until the node ends.
+/// Maintains the node entries of this failure domain until the node ends.
 pub async fn run(router: Arc<Router>) {
-    let mut book = AbsenceTracker::default();
+    let mut tracker = AbsenceTracker::default();
     loop {
         let limit = router.settings.gone_after.0;
-        tokio::time::sleep((limit / LOOKS).mul_f64(rand::random_range(0.8..1.2))).await;
+        tokio::time::sleep((limit / PROBES_PER_LIMIT).mul_f64(rand::random_range(0.8..1.2))).await;
         if !router.is_followed(FeedTopic::Nodes) || *router.phase.borrow() != RouterPhase::Serving {
             continue;
         }
@@ -34,22 +34,22 @@
             feed::announce(&router).await;
         }
         if *router.source.borrow() == FeedSource::Store {
-            sweep(&router, &mut book, limit).await;
+            sweep(&router, &mut tracker, limit).await;
             quarantine::remove_expired(&router).await;
         }
     }
 }
 
-/// One look at the other nodes of the failure domain.
-async fn sweep(router: &Router, book: &mut AbsenceTracker<(NodeId, u64)>, limit: Duration) {
+/// Probes the other nodes of the failure domain once and removes the entries of those that count as gone.
+async fn sweep(router: &Router, tracker: &mut AbsenceTracker<(NodeId, u64)>, limit: Duration) {
     let neighbours = router.cluster.neighbours();
-    let mut looks = Vec::new();
+    let mut probes = Vec::new();
     for entry in neighbours.iter().filter(|entry| entry.node != router.settings.node) {
         let is_reached = is_reached(entry).await;
-        looks.push(((entry.node.clone(), entry.incarnation.0), is_reached));
+        probes.push(((entry.node.clone(), entry.incarnation.0), is_reached));
     }
     let reaches_others = router.cluster.view().peers.iter().any(|peer| peer.link.is_open());
-    let gone = book.note_scan(router.clock.now(), &looks, reaches_others, limit);
+    let gone = tracker.note_scan(router.clock.now(), &probes, reaches_others, limit);
     let is_gone = |entry: &&NodeEntry| gone.contains(&(entry.node.clone(), entry.incarnation.0));
     for entry in neighbours.iter().filter(is_gone) {
         remove(router, entry, limit).await;
@@ -57,7 +57,7 @@
 }
 
 async fn is_reached(entry: &NodeEntry) -> bool {
-    let connecting = tokio::time::timeout(CONNECT_WITHIN, TcpStream::connect(entry.peer_address));
+    let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(entry.peer_address));
     matches!(connecting.await, Ok(Ok(_)))
 }
 
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -310,7 +310,7 @@
     }
     let crashes = listing.crashes.into_iter().map(FeedItem::Crash).collect();
     take_topic(router, FeedTopic::Crashes, crashes);
-    let (servers, nodes) = KnownEntries::of(router).complete(listing.sections);
+    let (servers, nodes) = KnownEntries::of(router).merge(listing.sections);
     let servers = servers.into_iter().map(FeedItem::Server).collect();
     take_topic(router, FeedTopic::Servers, servers);
     let nodes = nodes.into_iter().map(FeedItem::Node).collect();
--- a/crates/router/src/relay_service.rs
+++ b/crates/router/src/relay_service.rs
@@ -153,7 +153,7 @@
 
 /// The first message to a follower that has something already.
 fn encode_begin(router: &Router, known: &KnownDigest) -> Result<Bytes, PeerError> {
-    let listing = RelaySnapshot::make(router, &known_entries(router), known);
+    let listing = RelaySnapshot::build(router, &known_entries(router), known);
     encode_frame(&RelayFrame::Snapshot(Box::new(listing)))
 }
 
