--- a/crates/router/src/attempt_context.rs
+++ b/crates/router/src/attempt_context.rs
@@ -304,12 +304,12 @@
 
     fn call(&self, position: usize, server: Arc<Server>, mark: SentMark) -> PendingCall {
         let typical = self.times.typical(server.distance, self.route.target_latency);
-        let line = self.view.services.get(&server.service).and_then(Service::queue).cloned();
+        let queue = self.view.services.get(&server.service).and_then(Service::queue).cloned();
         let running =
             call::run(self.router.clone(), server, self.request.clone(), self.is_at_most_once(), mark, typical);
         let clock = self.router.clock;
         let started = self.now();
-        let guard = line.map(|line| CapacityNotice { line, clock });
+        let guard = queue.map(|queue| CapacityNotice { queue, clock });
         let timed = async move {
             let _guard = guard;
             let ended = running.await;
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -208,7 +208,10 @@
         tokio::time::sleep(progress.silence_within).await;
         let mut reported = self.router.reported_position.subscribe();
         let is_overdue = |reported: &FeedPosition| {
-            watch_timeout::is_overdue(&WatchProgress { store_revision: reported.0, ..progress }, progress.silence_within)
+            watch_timeout::is_overdue(
+                &WatchProgress { store_revision: reported.0, ..progress },
+                progress.silence_within,
+            )
         };
         // The sender lives as long as the router, so this cannot fail.
         let _ = reported.wait_for(is_overdue).await;
--- a/crates/router/src/look_around.rs
+++ b/crates/router/src/look_around.rs
@@ -48,8 +48,7 @@
 
 /// Lists the nodes in the store if they fit in one answer; returns false if they do not.
 async fn discover_from_one_page(router: &Router) -> bool {
-    match store_call::run(FeedTopic::Nodes, CallReason::LookAround, router.feed.list_one_page(FeedTopic::Nodes)).await
-    {
+    match store_call::run(FeedTopic::Nodes, CallReason::LookAround, router.feed.list_one_page(FeedTopic::Nodes)).await {
         Ok(Some(list)) => {
             apply_nodes(router, list);
             true
--- a/crates/router/src/router_start.rs
+++ b/crates/router/src/router_start.rs
@@ -61,7 +61,7 @@
     tasks.start("catch_up", feed::catch_up);
     tasks.start("peers", move |router| peer_service::serve(router, peers_listener.clone()));
     tasks.start("links", peers::keep_connected);
-    tasks.start("liveness_probe", liveness_probe::run);
+    tasks.start("signs", liveness_probe::run);
     tasks.start("knowledge", knowledge::poll_peers_in_outages);
     tasks.start("sweep", sweep);
     tokio::spawn(log_ready(router.clone()));
--- a/crates/router/src/server_choice.rs
+++ b/crates/router/src/server_choice.rs
@@ -46,7 +46,7 @@
         let Some(cheapest) = self.find_cheapest(candidates.iter()) else {
             return self.keep_waiting(attempts, entry);
         };
-        let Some(line) = service.queue() else { return Some(ServerChoice::Now(cheapest, None)) };
+        let Some(queue) = service.queue() else { return Some(ServerChoice::Now(cheapest, None)) };
         if entry.as_ref().is_some_and(|entry| !entry.is_selected()) {
             return Some(ServerChoice::Wait(entry));
         }
@@ -128,8 +128,8 @@
         entry: Option<QueueEntry>,
     ) {
         attempts.is_queued = false;
-        let Some(place) = place else { return };
-        attempts.queue_entry = Some(place);
+        let Some(entry) = entry else { return };
+        attempts.queue_entry = Some(entry);
         let Err(stop) = self.start(position, attempts, calls) else { return };
         if !matches!(stop, AttemptStop::Queued | AttemptStop::Canary) {
             self.log_not_made(attempts, stop);
