--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -317,7 +317,7 @@
     }
 }
 
-/// The selector of a request's route, if its traffic is split between services by split_selector.
+/// The selector of a request's route, if its traffic is split between services by turns.
 fn find_split_selector(context: &AttemptContext) -> Option<&SplitSelector> {
     context.view.split_selector(&context.route.name).filter(|_| context.router.has(Mechanism::SplitTurns))
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,8 +1,8 @@
 //! The request router. It matches callers' requests by host and path and forwards each one to one
 //! server of a service, or to one server of every shard and folds the shard answers into one.
 //!
-//! It knows no platform: how requests are written and where routes and servers are learnt
-//! from are traits in [`interface`].
+//! The router is independent of the platform: the traits in [`interface`] supply the request format and
+//! the source of routes and servers.
 
 pub mod answer;
 pub mod attempt_context;
