--- a/crates/router/src/cluster.rs
+++ b/crates/router/src/cluster.rs
@@ -66,7 +66,7 @@
         Self { place, generation: AtomicU64::new(0), parts: Mutex::new(parts), view, quarantine }
     }
 
-    /// The current view, which a request keeps to its end.
+    /// The current view, for a new request.
     pub fn view(&self) -> Arc<ClusterView> {
         self.view.load_full()
     }
@@ -164,7 +164,7 @@
                 FeedChange::Removed(entry) => is_changed |= self.remove(now, topic, &entry),
             }
         }
-        // State that is not part of the view, such as doubtful servers, is also sent to other nodes.
+        // Other nodes are also sent state that is not part of the view, such as which servers are doubtful.
         self.generation.fetch_add(1, Ordering::Relaxed);
         if !is_changed {
             return;
--- a/crates/router/src/cluster_view.rs
+++ b/crates/router/src/cluster_view.rs
@@ -21,9 +21,9 @@
 use crate::settings::ColdCallSettings;
 use crate::times::CallTimes;
 
-/// The least number of a shard's servers for which the measured pace is used to choose among them: between two
-/// servers, a second call tells as much. Services that are not shards are excluded: a node calls them too rarely and
-/// their service times vary too much to tell a server's pace from chance.
+/// The least number of a shard's servers for which the measured pace is used to choose among them: with two servers, a
+/// second call to the other one reveals as much. Services that are not shards are excluded: a node calls them too
+/// rarely and their service times vary too much to tell a server's pace from chance.
 const MIN_COMPARABLE: usize = 3;
 /// The number of nodes assumed while none is known.
 const ASSUMED_NODES: usize = 8;
@@ -186,8 +186,8 @@
     pub(crate) fn mark_comparable(&mut self, before: &Self) {
         for (name, service) in &mut self.services {
             let was_comparable = before.services.get(name).is_some_and(|service| service.is_comparable);
-            let staying = service.servers.iter().filter(|server| !server.is_doubtful()).count();
-            service.is_comparable = service.is_shard && (was_comparable || staying >= MIN_COMPARABLE);
+            let remaining = service.servers.iter().filter(|server| !server.is_doubtful()).count();
+            service.is_comparable = service.is_shard && (was_comparable || remaining >= MIN_COMPARABLE);
         }
     }
 
--- a/crates/router/src/interface.rs
+++ b/crates/router/src/interface.rs
@@ -108,8 +108,8 @@
     /// router has established.
     fn write_team(&self, headers: &mut HeaderMap, team: Option<&TeamName>);
 
-    /// Adds the headers that a call to one server carries besides the caller's own; `left` is the time until the
-    /// request's deadline.
+    /// Adds the headers that a call to one server carries besides the caller's own; `left` is the time that the server
+    /// has for it.
     fn write_call(&self, headers: &mut HeaderMap, server: &ServerId, left: Duration);
 
     /// Parses the headers of a server's answer to a request.
--- a/crates/router/src/knowledge.rs
+++ b/crates/router/src/knowledge.rs
@@ -53,7 +53,8 @@
 
 /// Answers a query of another node.
 pub fn answer(router: &Router, request: &KnowledgeRequest) -> KnowledgeReply {
-    // Nodes that start query at the same time as hundreds of others, and get the rest from their reader.
+    // The reply is kept small, since each starting node queries many others, together with hundreds of other nodes.
+    // It gets the rest from its reader.
     if let Some(node) = &request.neighbours_of {
         return KnowledgeReply { nodes: router.cluster.neighbours_of(node), ..KnowledgeReply::default() };
     }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -51,7 +51,7 @@
     Relay,
 }
 
-/// Subscribes to store updates.
+/// A request to subscribe to store updates.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct RelayRequest {
     /// The subscribing node.
@@ -64,8 +64,8 @@
 /// A message of a reader.
 #[derive(Debug, Clone, Encode, Decode)]
 pub enum RelayFrame {
-    /// Everything the reader has and the follower lacks: the first message, and again when the reader lists the store or
-    /// subscribes to another reader.
+    /// Everything the reader has and the follower lacks: the first message, and again when the reader lists servers or
+    /// nodes in the store or subscribes to another reader.
     Snapshot(Box<RelaySnapshot>),
     /// All entries of one topic after a new listing.
     Listed(FeedTopic, Vec<FeedItem>),
@@ -113,7 +113,7 @@
     Suspended,
     /// The first message was not a snapshot.
     #[error("the first message of the reader is not a snapshot")]
-    NoListing,
+    NoSnapshot,
 }
 
 /// Follows a reader, another node of the failure domain, whenever one is available, until the node ends. While none is,
@@ -275,7 +275,7 @@
             let next = tokio::time::timeout(READER_TIMEOUT, frames.next::<RelayFrame>()).await;
             first = next.map_err(|_| RelayError::Silent)??;
         }
-        let Some(RelayFrame::Snapshot(snapshot)) = first else { return Err(RelayError::NoListing) };
+        let Some(RelayFrame::Snapshot(snapshot)) = first else { return Err(RelayError::NoSnapshot) };
         let received =
             snapshot.sections.iter().filter_map(|section| section.servers.as_ref()).map(Vec::len).sum::<usize>();
         apply_frame(router, RelayFrame::Snapshot(snapshot));
--- a/crates/router/tests/late_routes.rs
+++ b/crates/router/tests/late_routes.rs
@@ -1,8 +1,8 @@
 //! A node that learns from another one of newer routes reads them from the store and must send them to its followers.
 //! If it does not, the followers keep the old routes, even after the node gets a new reader, since a reader omits what
-//! the node already has. Two nodes then serve a route six seconds after its removal; the log shows
-//! `event=routes_behind version=2` and `event=routes_in_force version=5 before=2 source=store` at the node they follow,
-//! and neither event at the two nodes.
+//! the node already has. In the failure that this test reproduces, two followers served a route six seconds after its
+//! removal: the node they followed logged `event=routes_behind version=2` and
+//! `event=routes_in_force version=5 before=2 source=store`, and the followers logged neither.
 
 mod fakes;
 
@@ -18,14 +18,14 @@
 use streamfold_store::StoreError;
 
 /// A store as one node sees it, whose watches never return.
-struct MuteTopics {
+struct StalledTopics {
     version: Arc<AtomicU64>,
     nodes: Vec<NodeEntry>,
     /// Whether this node can list topics; otherwise it only gets the listing of the nodes in one answer.
     is_available: bool,
 }
 
-impl FakeTopics for MuteTopics {
+impl FakeTopics for StalledTopics {
     fn list(&self, topic: FeedTopic) -> Result<FeedList, StoreError> {
         if self.is_available { Ok(self.list_one_page(topic)) } else { Err(StoreError::Unreachable) }
     }
@@ -57,8 +57,9 @@
     let unused = SocketAddr::from(([127, 0, 0, 1], 9));
     nodes.extend(["away-0", "away-1"].map(|name| entry(name, unused, None)));
     let version = Arc::new(AtomicU64::new(1));
-    let feed =
-        |is_available| Arc::new(FakeFeed(MuteTopics { version: version.clone(), nodes: nodes.clone(), is_available }));
+    let feed = |is_available| {
+        Arc::new(FakeFeed(StalledTopics { version: version.clone(), nodes: nodes.clone(), is_available }))
+    };
     let reader = router_start::start(strong, Arc::new(NoFormat), feed(true), String::new).await.expect("a node");
     let follower = router_start::start(weak, Arc::new(NoFormat), feed(false), String::new).await.expect("a node");
     wait_version(&reader.router, 1).await;
