--- a/crates/router/src/cluster.rs
+++ b/crates/router/src/cluster.rs
@@ -49,7 +49,7 @@
 
 /// The state of the cluster as this node knows it.
 pub struct Cluster {
-    place: ClusterPlace,
+    context: ClusterPlace,
     generation: AtomicU64,
     parts: Mutex<ClusterParts>,
     view: ArcSwap<ClusterView>,
@@ -59,11 +59,11 @@
 
 impl Cluster {
     /// Creates the state without any routes, servers or nodes.
-    pub fn new(place: ClusterPlace) -> Self {
+    pub fn new(context: ClusterPlace) -> Self {
         let parts = ClusterParts::default();
-        let view = ArcSwap::from_pointee(parts.build_view(&place));
+        let view = ArcSwap::from_pointee(parts.build_view(&context));
         let quarantine = CrashQuarantine::default();
-        Self { place, generation: AtomicU64::new(0), parts: Mutex::new(parts), view, quarantine }
+        Self { context, generation: AtomicU64::new(0), parts: Mutex::new(parts), view, quarantine }
     }
 
     /// The current view, for a new request.
@@ -72,8 +72,8 @@
     }
 
     /// The location of this node and the settings by which it judges servers.
-    pub fn place(&self) -> &ClusterPlace {
-        &self.place
+    pub fn context(&self) -> &ClusterPlace {
+        &self.context
     }
 
     /// The version of the active routes, 0 for none.
@@ -87,9 +87,9 @@
 
     fn publish(&self, parts: &ClusterParts) {
         self.generation.fetch_add(1, Ordering::Relaxed);
-        let mut view = parts.build_view(&self.place);
+        let mut view = parts.build_view(&self.context);
         view.mark_comparable(&self.view.load());
-        view.assign_shares(&self.place.node, self.place.cold_calls);
+        view.assign_shares(&self.context.node, self.context.cold_calls);
         self.view.store(Arc::new(view));
     }
 
@@ -104,7 +104,7 @@
         metrics::gauge!("streamfold_routes_version").set(table.version.0 as f64);
         parts.keep_latencies(&table);
         parts.keep_split_selectors(&table);
-        parts.keep_queues(&table, &self.place);
+        parts.keep_queues(&table, &self.context);
         parts.table = Some(Arc::new(table));
         self.publish(&parts);
         true
@@ -171,7 +171,7 @@
         }
         let mut parts = self.parts();
         if topic == FeedTopic::Nodes {
-            parts.choose_peers(&self.place);
+            parts.choose_peers(&self.context);
         }
         self.publish(&parts);
     }
@@ -240,7 +240,7 @@
                 draining = entry.is_draining
             );
         }
-        let shared = parts.server_shared(&entry.domain, &self.place);
+        let shared = parts.server_shared(&entry.domain, &self.context);
         let server = Server::new(entry, shared, now);
         parts.servers.insert(entry.id.clone(), server);
         parts.budgets.entry(entry.service.clone()).or_default();
@@ -282,7 +282,7 @@
                 let gone = name.parse::<NodeId>().ok().and_then(|node| parts.nodes.remove(&node));
                 let Some(gone) = gone else { return false };
                 tracing::info!(event = "node_gone", node = name);
-                parts.gone_nodes.push((gone, now.plus(self.place.spent_for)));
+                parts.gone_nodes.push((gone, now.plus(self.context.spent_for)));
                 true
             }
             FeedTopic::Servers => {
@@ -309,7 +309,7 @@
 
     /// The nodes of this node's failure domain, including this one.
     pub fn neighbours(&self) -> Vec<NodeEntry> {
-        self.parts().nodes_of(&self.place.domain)
+        self.parts().nodes_of(&self.context.domain)
     }
 
     /// The nodes of a node's failure domain, including that node; empty if the node is not known.
--- a/crates/router/src/cluster_parts.rs
+++ b/crates/router/src/cluster_parts.rs
@@ -61,10 +61,10 @@
 
 impl ClusterParts {
     /// The state of a failure domain, created on first use.
-    fn domain(&mut self, name: &FailureDomain, place: &ClusterPlace) -> Arc<DomainState> {
+    fn domain(&mut self, name: &FailureDomain, context: &ClusterPlace) -> Arc<DomainState> {
         let is_evacuated = self.evacuations.as_ref().is_some_and(|list| list.domains.contains(name));
         let make = || {
-            let domain = DomainState::new(name, place);
+            let domain = DomainState::new(name, context);
             domain.set_evacuated(is_evacuated);
             Arc::new(domain)
         };
@@ -77,9 +77,9 @@
     }
 
     /// The state that a server in a failure domain shares with others.
-    pub(crate) fn server_shared(&mut self, domain: &FailureDomain, place: &ClusterPlace) -> ServerShared {
-        let domain = self.domain(domain, place);
-        ServerShared { domain, spells: self.slow_periods.clone(), mechanisms: place.mechanisms }
+    pub(crate) fn server_shared(&mut self, domain: &FailureDomain, context: &ClusterPlace) -> ServerShared {
+        let domain = self.domain(domain, context);
+        ServerShared { domain, spells: self.slow_periods.clone(), mechanisms: context.mechanisms }
     }
 
     /// Activates a list of evacuated failure domains. When an evacuation ends, the domain's servers count as warming up
@@ -130,28 +130,28 @@
     /// Chooses the nodes to stay connected to: a few owners of each failure domain, so that the number of connections
     /// grows with the failure domains and not with the nodes. In its own failure domain an owner connects to no nodes
     /// and any other node to owners only.
-    pub(crate) fn choose_peers(&mut self, place: &ClusterPlace) {
+    pub(crate) fn choose_peers(&mut self, context: &ClusterPlace) {
         let domains: BTreeSet<FailureDomain> = self.nodes.values().map(|entry| entry.domain.clone()).collect();
-        let states = domains.into_iter().map(|domain| (domain.clone(), self.domain(&domain, place)));
+        let states = domains.into_iter().map(|domain| (domain.clone(), self.domain(&domain, context)));
         let states: HashMap<FailureDomain, Arc<DomainState>> = states.collect();
         let strongest = self.find_strongest();
         let is_owner = |entry: &NodeEntry| {
             let strongest = strongest.get(&entry.domain).copied().flatten();
             placement::is_owner(entry.cpu_share, strongest)
         };
-        let is_self_owner = self.nodes.get(&place.node).is_none_or(is_owner);
+        let is_self_owner = self.nodes.get(&context.node).is_none_or(is_owner);
         let mut by_domain: HashMap<&FailureDomain, Vec<&NodeEntry>> = HashMap::new();
-        for entry in self.nodes.values().filter(|entry| entry.domain != place.domain || !is_self_owner) {
+        for entry in self.nodes.values().filter(|entry| entry.domain != context.domain || !is_self_owner) {
             by_domain.entry(&entry.domain).or_default().push(entry);
         }
         let mut peers = HashMap::new();
         for (domain, entries) in by_domain {
             let owners = entries.iter().filter(|entry| is_owner(entry)).map(|entry| entry.node.as_str());
-            let mut chosen = choose_owners(owners, place.node.as_str(), PEERS_PER_DOMAIN);
-            if *domain != place.domain {
+            let mut chosen = choose_owners(owners, context.node.as_str(), PEERS_PER_DOMAIN);
+            if *domain != context.domain {
                 // Where a failure domain has few owners, other nodes fill up, in case all of the owners are lost.
                 let others = entries.iter().filter(|entry| !is_owner(entry)).map(|entry| entry.node.as_str());
-                chosen.extend(choose_owners(others, place.node.as_str(), PEERS_PER_DOMAIN - chosen.len()));
+                chosen.extend(choose_owners(others, context.node.as_str(), PEERS_PER_DOMAIN - chosen.len()));
             }
             for entry in entries.into_iter().filter(|entry| chosen.contains(&entry.node.as_str())) {
                 let known = self.peers.get(&entry.node);
@@ -195,10 +195,10 @@
 
     /// Keeps the queues of services that still need one in the new version. Calls in a removed queue stay there and
     /// check for capacity periodically on their own.
-    pub(crate) fn keep_queues(&mut self, table: &RouteTable, place: &ClusterPlace) {
+    pub(crate) fn keep_queues(&mut self, table: &RouteTable, context: &ClusterPlace) {
         let mut old = std::mem::take(&mut self.queues);
         self.mixed_priority_services = Arc::new(table.mixed_priority_services());
-        for (service, rule) in find_contended(table, &self.mixed_priority_services, place) {
+        for (service, rule) in find_contended(table, &self.mixed_priority_services, context) {
             let make = || CallLine::new(service.clone(), rule, self.waits.clone());
             let queue = old.remove(&service).unwrap_or_else(make);
             queue.set_rule(rule);
@@ -258,7 +258,7 @@
     }
 
     /// Builds the view that requests read.
-    pub(crate) fn build_view(&self, place: &ClusterPlace) -> ClusterView {
+    pub(crate) fn build_view(&self, context: &ClusterPlace) -> ClusterView {
         let mut services: HashMap<ServiceName, Service> = HashMap::new();
         let shards = self.find_shards();
         for server in self.servers.values().filter(|server| !server.is_leaving()) {
@@ -278,9 +278,9 @@
             latencies: self.latencies.clone(),
             split_selectors: self.split_selectors.clone(),
             nodes: self.count_nodes(),
-            is_owner: self.is_owner(&place.node),
+            is_owner: self.is_owner(&context.node),
             granters: self.find_granters(),
-            near_owners: self.owners_of(&place.domain),
+            near_owners: self.owners_of(&context.domain),
             peers: self.peers.values().cloned().collect(),
         }
     }
--- a/crates/router/src/delegate.rs
+++ b/crates/router/src/delegate.rs
@@ -140,7 +140,7 @@
             !known.is_empty()
         });
         let mut placed = share_out(by_domain);
-        let own = self.router.cluster.place().domain.clone();
+        let own = self.router.cluster.context().domain.clone();
         let near_peers = self.usable_peers(&own);
         if self.hands_near(&near_peers, near.len()) {
             placed.push((own.clone(), near));
@@ -182,7 +182,7 @@
     /// The nodes of a failure domain that may be given work: its owners, or others while none of
     /// them can be reached. Where the route has homes, none outside them: with the work goes the body.
     fn usable_peers(&self, domain: &FailureDomain) -> Vec<Arc<PeerNode>> {
-        if !self.homes.allows(self.router.cluster.place().region(domain)) {
+        if !self.homes.allows(self.router.cluster.context().region(domain)) {
             return Vec::new();
         }
         let now = self.now();
--- a/crates/router/src/quarantine_news.rs
+++ b/crates/router/src/quarantine_news.rs
@@ -45,7 +45,7 @@
 
 /// Tells all nodes in reach that a content is held off, or tried again; returns when they know, or after a while.
 pub(crate) async fn tell_all(router: &Router, entry: CrashEntry) {
-    let pass_to = Some(router.cluster.place().domain.clone());
+    let pass_to = Some(router.cluster.context().domain.clone());
     tell_each(router, &QuarantineNews { entry, pass_to }, |_| true).await;
 }
 
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -219,15 +219,15 @@
     if !router.has(Mechanism::DomainReaders) {
         return ReaderSelection::default();
     }
-    let place = router.cluster.place();
+    let context = router.cluster.context();
     let mut neighbours = router.cluster.neighbours();
     // This node has no entry while it restarts after a planned stop.
-    if !router.cluster.has_node(&place.node) {
+    if !router.cluster.has_node(&context.node) {
         neighbours.push(router.own_entry());
     }
     let nodes: Vec<ReaderCandidate> =
         neighbours.iter().map(|entry| ReaderCandidate { name: entry.node.as_str(), power: entry.cpu_share }).collect();
-    let choice = choose_readers(place.node.as_str(), place.domain.as_str(), &nodes);
+    let choice = choose_readers(context.node.as_str(), context.domain.as_str(), &nodes);
     router.store_turn.set_rank(choice.rank);
     let find = |name: &str| neighbours.iter().find(|entry| entry.node.as_str() == name).cloned();
     ReaderSelection {
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -185,7 +185,7 @@
 
     /// Whether a mechanism of decision is in use.
     pub fn has(&self, mechanism: Mechanism) -> bool {
-        self.cluster.place().mechanisms.has(mechanism)
+        self.cluster.context().mechanisms.has(mechanism)
     }
 
     /// This node's entry for the others.
