--- a/crates/router/src/delegate.rs
+++ b/crates/router/src/delegate.rs
@@ -139,7 +139,7 @@
             !known.is_empty()
         });
         let mut assigned = assign_domains(by_domain);
-        let own = self.router.cluster.place().domain.clone();
+        let own = self.router.cluster.context().domain.clone();
         let near_peers = self.usable_peers(&own);
         if self.is_near_delegated(&near_peers, near.len()) {
             assigned.push((own.clone(), near));
@@ -181,7 +181,7 @@
     /// The nodes of a failure domain that work may be delegated to: its owners, or other nodes while no owner can be
     /// reached. Nodes outside the allowed regions are never used, since the request body is sent along.
     fn usable_peers(&self, domain: &FailureDomain) -> Vec<Arc<PeerNode>> {
-        if !self.allowed_regions.allows(self.router.cluster.place().region(domain)) {
+        if !self.allowed_regions.allows(self.router.cluster.context().region(domain)) {
             return Vec::new();
         }
         let now = self.now();
--- a/crates/router/src/quarantine_news.rs
+++ b/crates/router/src/quarantine_news.rs
@@ -49,7 +49,7 @@
 /// Sends all reachable nodes the update that a content is quarantined or tried again. Returns when they have
 /// acknowledged it, or after a short wait.
 pub(crate) async fn broadcast(router: &Router, entry: CrashEntry) {
-    let forward_to = Some(router.cluster.place().domain.clone());
+    let forward_to = Some(router.cluster.context().domain.clone());
     send_to_peers(router, &QuarantineUpdate { entry, forward_to }, |_| true).await;
 }
 
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -51,7 +51,7 @@
     Relay,
 }
 
-/// Subscribes to store updates.
+/// A request to subscribe to store updates.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct RelayRequest {
     /// The subscribing node.
@@ -64,8 +64,8 @@
 /// A message of a reader.
 #[derive(Debug, Clone, Encode, Decode)]
 pub enum RelayFrame {
-    /// Everything the reader has and the follower lacks: the first message, and again when the reader lists the store or
-    /// subscribes to another reader.
+    /// Everything the reader has and the follower lacks: the first message, and again when the reader lists servers or
+    /// nodes in the store or subscribes to another reader.
     Snapshot(Box<RelaySnapshot>),
     /// All entries of one topic after a new listing.
     Listed(FeedTopic, Vec<FeedItem>),
@@ -113,7 +113,7 @@
     Suspended,
     /// The first message was not a snapshot.
     #[error("the first message of the reader is not a snapshot")]
-    NoListing,
+    NoSnapshot,
 }
 
 /// Follows a reader, another node of the failure domain, whenever one is available, until the node ends. While none is,
@@ -219,15 +219,15 @@
     if !router.has(Mechanism::DomainReaders) {
         return ReaderSelection::default();
     }
-    let place = router.cluster.place();
+    let context = router.cluster.context();
     let mut neighbours = router.cluster.neighbours();
     // This node has no entry while it restarts after a planned stop.
-    if !router.cluster.has_node(&place.node) {
+    if !router.cluster.has_node(&context.node) {
         neighbours.push(router.own_entry());
     }
     let nodes: Vec<ReaderCandidate> =
         neighbours.iter().map(|entry| ReaderCandidate { name: entry.node.as_str(), power: entry.cpu_share }).collect();
-    let choice = choose_readers(place.node.as_str(), place.domain.as_str(), &nodes);
+    let choice = choose_readers(context.node.as_str(), context.domain.as_str(), &nodes);
     router.store_breaker.set_rank(choice.rank);
     let find = |name: &str| neighbours.iter().find(|entry| entry.node.as_str() == name).cloned();
     ReaderSelection {
@@ -275,7 +275,7 @@
             let next = tokio::time::timeout(READER_TIMEOUT, frames.next::<RelayFrame>()).await;
             first = next.map_err(|_| RelayError::Silent)??;
         }
-        let Some(RelayFrame::Snapshot(snapshot)) = first else { return Err(RelayError::NoListing) };
+        let Some(RelayFrame::Snapshot(snapshot)) = first else { return Err(RelayError::NoSnapshot) };
         let received =
             snapshot.sections.iter().filter_map(|section| section.servers.as_ref()).map(Vec::len).sum::<usize>();
         apply_frame(router, RelayFrame::Snapshot(snapshot));
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -186,7 +186,7 @@
 
     /// Whether an optional mechanism is enabled.
     pub fn has(&self, mechanism: Mechanism) -> bool {
-        self.cluster.place().mechanisms.has(mechanism)
+        self.cluster.context().mechanisms.has(mechanism)
     }
 
     /// The entry under which this node is registered for other nodes.
