--- a/crates/daemon/src/admission.rs
+++ b/crates/daemon/src/admission.rs
@@ -1,4 +1,4 @@
-//! Lets callers' requests in at this node, at once, after waiting, or not at all.
+//! Admission control of callers' requests at this node: a request starts at once, waits in the queue, or is refused.
 
 use std::sync::Arc;
 
@@ -7,37 +7,37 @@
 use tokio::sync::oneshot;
 
 use crate::caller_error::CallerError;
-use crate::callers::CallerVisit;
+use crate::callers::RequestContext;
 use crate::node::Node;
 use crate::stats;
 
-/// A request that was let in, until it ends. Dropping it gives its place to a waiting one.
-pub struct AdmittedVisit {
+/// The permit of a running request. Dropping it frees the slot and starts the next queued request.
+pub struct AdmissionPermit {
     node: Arc<Node>,
     caller: CallerName,
     started: Moment,
-    /// How its work went, filled in as it goes.
+    /// Times of the request's work so far, from which the admission limit is adjusted.
     pub work: WorkReport,
 }
 
-impl Drop for AdmittedVisit {
+impl Drop for AdmissionPermit {
     fn drop(&mut self) {
         let now = self.node.clock.now();
         let started = {
-            let mut gate = self.node.gate();
-            let started = gate.finish(now, &self.caller, now.since(self.started), self.work);
-            stats::set_admission_limit(gate.limit());
+            let mut admission = self.node.admission();
+            let started = admission.finish(now, &self.caller, now.since(self.started), self.work);
+            stats::set_admission_limit(admission.limit());
             started
         };
         for (caller, tag) in started {
-            let visit = Self { node: self.node.clone(), caller, started: now, work: WorkReport::default() };
-            // Nobody may wait for it any more; then it comes back and gives its place to the next.
-            let _ = tag.send(visit);
+            let permit = Self { node: self.node.clone(), caller, started: now, work: WorkReport::default() };
+            // If the receiver is gone, the permit is dropped here and starts the next request.
+            let _ = tag.send(permit);
         }
     }
 }
 
-/// Takes a waiting request out of the queue when nobody waits for it any more.
+/// Removes a request from the queue when its future is dropped.
 struct WaitGuard<'a> {
     node: &'a Node,
     caller: &'a CallerName,
@@ -47,24 +47,28 @@
 
 impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        self.node.gate().cancel(self.caller, self.deadline, self.number);
+        self.node.admission().cancel(self.caller, self.deadline, self.number);
     }
 }
 
-/// Lets a request in.
+/// Admits a request, after waiting in the queue if the node is at its limit.
 ///
 /// # Errors
-/// It is refused and did not run.
-pub async fn let_in(node: &Arc<Node>, visit: &CallerVisit, deadline: Moment) -> Result<AdmittedVisit, CallerError> {
-    let caller = &visit.caller.name;
-    let (rate, concurrency) = (visit.caller.rate, visit.caller.concurrency);
-    let ask = AdmissionRequest { caller: caller.clone(), rate, concurrency, deadline };
-    let (tag, place) = oneshot::channel();
+/// The request is refused, or its deadline passes in the queue. It did not run.
+pub async fn admit(
+    node: &Arc<Node>,
+    context: &RequestContext,
+    deadline: Moment,
+) -> Result<AdmissionPermit, CallerError> {
+    let caller = &context.caller.name;
+    let (rate, concurrency) = (context.caller.rate, context.caller.concurrency);
+    let request = AdmissionRequest { caller: caller.clone(), rate, concurrency, deadline };
+    let (tag, receiver) = oneshot::channel();
     let now = node.clock.now();
-    let admission = node.gate().admit(now, &ask, tag);
+    let admission = node.admission().admit(now, &request, tag);
     let number = match admission {
         Admission::Started => {
-            return Ok(AdmittedVisit {
+            return Ok(AdmissionPermit {
                 node: node.clone(),
                 caller: caller.clone(),
                 started: now,
@@ -72,12 +76,12 @@
             });
         }
         Admission::Refused(refusal) => return Err(refuse(refusal)),
-        // The one given up learns it by its tag's end.
+        // Dropping the tag of the displaced request tells it that it is refused.
         Admission::Waiting(number) | Admission::Displaced(number, _) => number,
     };
     stats::count_admission_wait();
     let _guard = WaitGuard { node, caller, deadline, number };
-    let granted = tokio::time::timeout(deadline.since(now), place).await;
+    let granted = tokio::time::timeout(deadline.since(now), receiver).await;
     let overloaded = CallerError::Overloaded(deadline.since(now));
     granted.map_err(|_| overloaded.clone())?.map_err(|_| overloaded)
 }
--- a/crates/daemon/src/caller_error.rs
+++ b/crates/daemon/src/caller_error.rs
@@ -1,4 +1,4 @@
-//! Every way a caller's request can be refused or fail, with its status and whether it ran.
+//! Errors that callers receive, each with its HTTP status and whether the request ran.
 
 use std::time::Duration;
 
@@ -8,19 +8,19 @@
 use crate::error::HeaderError;
 use crate::wire::OrderFailure;
 
-/// When to ask again after a refusal that time alone will mend.
-const RETRY_LATER: Duration = Duration::from_millis(1_000);
+/// Retry delay after a temporary refusal that has no delay of its own.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
-/// Why a request is refused or gives no answer.
+/// Why a request is refused or has no result.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum CallerError {
-    /// No token, or one that no caller has.
+    /// The token is missing or belongs to no caller.
     #[error("the bearer token is missing or unknown")]
     UnknownCaller,
-    /// The caller may not reach the index.
+    /// The caller has no access to the index.
     #[error("caller {0} may not reach index {1}")]
     Forbidden(String, IndexName),
-    /// There is no such index.
+    /// The index does not exist.
     #[error("index {0:?} does not exist")]
     UnknownIndex(String),
     /// A header is malformed.
@@ -29,52 +29,52 @@
     /// The `shards` parameter is malformed.
     #[error("parameter shards: {0:?} is not a list like 0-3,7")]
     BadShards(String),
-    /// A shard is not in the layout.
+    /// The shard is not in the index's layout of this many shards.
     #[error("shard {0} does not exist; the index has {1} shards")]
     NoSuchShard(ShardId, usize),
-    /// The body is over its limit.
+    /// The body is larger than the limit, in bytes.
     #[error("the body is larger than {0} bytes")]
     BodyTooLarge(usize),
-    /// The body broke off.
+    /// The connection failed while the body was read.
     #[error("the body could not be read")]
     BodyBroken,
-    /// An order's body does not name a record.
+    /// The body of an order has no record key.
     #[error("the body of an order is a JSON object with a string \"key\": {0}")]
     BadOrder(String),
-    /// A request that is not repeatable needs a key.
+    /// A non-repeatable request has no idempotency key; the ticket is minted for the retry.
     #[error("a request that is not repeatable needs the header Idempotency-Key; use the ticket given here")]
     KeyMissing(String),
-    /// A query cannot be made not repeatable.
+    /// A query was marked as non-repeatable.
     #[error("a query is always repeatable; use an order")]
     QueryNotRepeatable,
-    /// Over the caller's rate.
+    /// The caller is over its rate limit; it may retry after this time.
     #[error("the caller is over its rate")]
     OverRate(Duration),
-    /// More work than can be done in time.
+    /// The node has more work than it can finish in time; the caller may retry after this time.
     #[error("there is more work than can be done in time")]
     Overloaded(Duration),
-    /// Too many requests of the caller running.
+    /// The caller has too many requests running or queued.
     #[error("the caller has too many requests running")]
     OverConcurrency,
     /// The node is stopping.
     #[error("this node is stopping")]
     Stopping,
-    /// The node has no configuration.
+    /// The node has no configuration yet.
     #[error("this node has no configuration yet")]
     NoConfiguration,
-    /// No server told its versions.
-    #[error("no server of the index has told which versions it holds")]
+    /// No server has reported its index versions.
+    #[error("no server of the index has reported which versions it holds")]
     NoVersion,
-    /// Work on the request panicked; what it had sent by then is not known.
+    /// The handler panicked; it may have sent calls before that.
     #[error("this node failed over the request, which may have run")]
     NodeFault,
-    /// An order gave no result; a ticket where one would help.
+    /// An order has no result; includes a ticket if a retry with a ticket can succeed.
     #[error("the order gave no result: {0}")]
     Order(OrderFailure, Option<String>),
 }
 
 impl CallerError {
-    /// Stable name and status.
+    /// The stable error name and the HTTP status.
     pub fn kind(&self) -> (&'static str, StatusCode) {
         match self {
             Self::UnknownCaller => ("unknown-caller", StatusCode::UNAUTHORIZED),
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The ticket to use, where one would help.
+    /// The ticket for a retry, if a retry with a ticket can succeed.
     pub fn ticket(&self) -> Option<&String> {
         match self {
             Self::KeyMissing(ticket) => Some(ticket),
@@ -117,12 +117,16 @@
         }
     }
 
-    /// When asking again may help.
+    /// The delay after which a retry may succeed; `None` if a retry does not help.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::OverRate(wait) | Self::Overloaded(wait) => Some(*wait),
-            Self::OverConcurrency | Self::Stopping | Self::NoConfiguration | Self::NoVersion => Some(RETRY_LATER),
-            Self::Order(OrderFailure::Missing(_) | OrderFailure::Stopping | OrderFailure::Full, _) => Some(RETRY_LATER),
+            Self::OverConcurrency | Self::Stopping | Self::NoConfiguration | Self::NoVersion => {
+                Some(DEFAULT_RETRY_AFTER)
+            }
+            Self::Order(OrderFailure::Missing(_) | OrderFailure::Stopping | OrderFailure::Full, _) => {
+                Some(DEFAULT_RETRY_AFTER)
+            }
             _ => None,
         }
     }
--- a/crates/daemon/src/caller_input.rs
+++ b/crates/daemon/src/caller_input.rs
@@ -1,4 +1,4 @@
-//! Reads what callers send: headers, parameters and bodies, each with its typed refusal.
+//! Parses the headers, URL parameters and bodies of callers' requests, with a typed error for each.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,28 +13,29 @@
 use streamfold_policy::{FinishRule, Moment};
 
 use crate::caller_error::CallerError;
-use crate::callers::CallerVisit;
+use crate::callers::RequestContext;
 use crate::error::HeaderError;
 use crate::node::Node;
 
-/// The most shards a caller may name.
-const MAX_NAMED_SHARDS: usize = 65_536;
-/// The longest idempotency key.
+/// Maximum number of shards in the `shards` parameter.
+const MAX_SHARDS: usize = 65_536;
+/// Maximum length of an idempotency key, and of the part of an invalid value that an error quotes.
 const MAX_KEY_LEN: usize = 128;
-/// Share of the deadline kept for the way back to the caller.
+/// Share of the deadline reserved for sending the answer back to the caller.
 const RETURN_SHARE: f64 = 0.02;
-/// The most kept for it.
-const MAX_RETURN: Duration = Duration::from_millis(5);
-/// How much of a body over its limit is read, and for how long, before it is refused.
+/// Maximum of that reserved time.
+const MAX_RETURN_TIME: Duration = Duration::from_millis(5);
+/// Bytes and time for which the rest of an oversized body is read before the request is refused.
 const MAX_DRAIN: usize = 16 << 20;
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
-/// The index of a name, if the caller may reach it.
-pub fn find_index(visit: &CallerVisit, name: &str) -> Result<Arc<IndexSpec>, CallerError> {
+
+/// Finds an index by name and checks that the caller has access to it.
+pub fn find_index(context: &RequestContext, name: &str) -> Result<Arc<IndexSpec>, CallerError> {
     let unknown = || CallerError::UnknownIndex(name.chars().take(MAX_KEY_LEN).collect());
     let index: IndexName = name.parse().map_err(|_| unknown())?;
-    let spec = visit.config.indexes.get(&index).ok_or_else(unknown)?;
-    if !visit.caller.indexes.contains(&index) {
-        return Err(CallerError::Forbidden(visit.caller.name.to_string(), index));
+    let spec = context.config.indexes.get(&index).ok_or_else(unknown)?;
+    if !context.caller.indexes.contains(&index) {
+        return Err(CallerError::Forbidden(context.caller.name.to_string(), index));
     }
     Ok(spec.clone())
 }
@@ -47,7 +48,7 @@
     HeaderError::BadValue { name, found: found.chars().take(MAX_KEY_LEN).collect(), wanted }
 }
 
-/// Whether the caller says that the request may be repeated.
+/// Whether the caller marks the request as repeatable; `None` without the header.
 pub fn read_repeatable(headers: &HeaderMap) -> Result<Option<bool>, HeaderError> {
     match read_text(headers, HEADER_REPEATABLE) {
         None => Ok(None),
@@ -57,26 +58,26 @@
     }
 }
 
-/// The deadline the caller names, at most its configured one, less the way back.
-pub fn read_deadline(visit: &CallerVisit, headers: &HeaderMap) -> Result<Moment, HeaderError> {
-    let longest = visit.caller.deadline;
-    let span = match read_text(headers, HEADER_DEADLINE) {
-        None => longest,
+/// The request's deadline: the caller's timeout, at most its configured one, less the time reserved for the answer.
+pub fn read_deadline(context: &RequestContext, headers: &HeaderMap) -> Result<Moment, HeaderError> {
+    let max_deadline = context.caller.deadline;
+    let timeout = match read_text(headers, HEADER_DEADLINE) {
+        None => max_deadline,
         Some(text) => {
             let millis: u64 = text
                 .parse()
                 .ok()
                 .filter(|millis| *millis > 0)
                 .ok_or_else(|| bad_value(HEADER_DEADLINE, text, "a whole number of milliseconds above 0"))?;
-            Duration::from_millis(millis).min(longest)
+            Duration::from_millis(millis).min(max_deadline)
         }
     };
-    let way_back = span.mul_f64(RETURN_SHARE).min(MAX_RETURN);
-    Ok(visit.started.plus(span - way_back))
+    let return_time = timeout.mul_f64(RETURN_SHARE).min(MAX_RETURN_TIME);
+    Ok(context.started.plus(timeout - return_time))
 }
 
-/// When the caller wants its answer.
-pub fn read_rule(caller: &CallerSpec, headers: &HeaderMap) -> Result<FinishRule, HeaderError> {
+/// The rule that decides when a query is answered with the results so far.
+pub fn read_finish_rule(caller: &CallerSpec, headers: &HeaderMap) -> Result<FinishRule, HeaderError> {
     let prefer = match read_text(headers, HEADER_PREFER) {
         None => caller.prefer,
         Some("latency") => CallerPreference::Latency,
@@ -86,23 +87,23 @@
     Ok(FinishRule { prefer, prefer_within: caller.prefer_within, wanted_coverage: caller.wanted_coverage })
 }
 
-/// The value of a URL parameter.
+/// The value of a URL parameter, as it is, without percent-decoding.
 pub fn find_parameter<'a>(parameters: Option<&'a str>, name: &str) -> Option<&'a str> {
     let pairs = parameters?.split('&').filter_map(|pair| pair.split_once('='));
     pairs.into_iter().find(|(found, _)| *found == name).map(|(_, value)| value)
 }
 
-/// The shards the caller wants.
-pub fn read_wanted(parameters: Option<&str>) -> Result<Option<Vec<ShardId>>, CallerError> {
+/// The shards in the `shards` parameter, sorted; `None` without it.
+pub fn read_shards(parameters: Option<&str>) -> Result<Option<Vec<ShardId>>, CallerError> {
     let Some(text) = find_parameter(parameters, "shards") else { return Ok(None) };
     let bad = || CallerError::BadShards(text.chars().take(MAX_KEY_LEN).collect());
-    let mut shards = parse_shards(text, MAX_NAMED_SHARDS).ok_or_else(bad)?;
+    let mut shards = parse_shards(text, MAX_SHARDS).ok_or_else(bad)?;
     shards.sort_unstable();
     shards.dedup();
     Ok(Some(shards))
 }
 
-/// The idempotency key.
+/// The idempotency key; `None` without the header.
 pub fn read_key(headers: &HeaderMap) -> Result<Option<String>, HeaderError> {
     let Some(value) = headers.get(HEADER_KEY) else { return Ok(None) };
     let text = value.to_str().map_err(|_| HeaderError::BadKey)?;
@@ -113,7 +114,7 @@
     Ok(Some(text.to_owned()))
 }
 
-/// The body, at most as long as the settings allow.
+/// Reads the body, at most `body_limit` bytes.
 pub async fn read_body(node: &Node, request: Request<Body>) -> Result<Bytes, CallerError> {
     let limit = node.settings.body_limit.as_usize();
     let mut body = request.into_body();
@@ -125,7 +126,7 @@
     if !error.is::<LengthLimitError>() {
         return Err(CallerError::BodyBroken);
     }
-    // A sender that is still sending would not see the refusal, so a bounded rest is read.
+    // A client that is still sending would not read the refusal, so a bounded rest of the body is read first.
     let rest = Limited::new(body, MAX_DRAIN).collect();
     let _ = tokio::time::timeout(DRAIN_TIMEOUT, rest).await;
     Err(CallerError::BodyTooLarge(limit))
--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' port: queries, orders and tickets, as JSON over HTTP.
+//! The HTTP API for callers: queries, orders and tickets, with JSON answers.
 
 use std::sync::Arc;
 
@@ -16,38 +16,38 @@
 use streamfold_router::task;
 use tokio::net::TcpListener;
 
-use crate::admission::let_in;
+use crate::admission::admit;
 use crate::caller_error::CallerError;
 use crate::caller_input::{
-    find_index, find_parameter, read_body, read_deadline, read_key, read_repeatable, read_rule, read_wanted,
+    find_index, find_parameter, read_body, read_deadline, read_finish_rule, read_key, read_repeatable, read_shards,
 };
 use crate::error::HeaderError;
 use crate::http_server;
-use crate::node::{Node, WorkCount};
-use crate::order::{OrderAsk, run_claimed, run_ticket};
-use crate::query::{QueryAsk, QueryFailure};
+use crate::node::{Node, WorkGuard};
+use crate::order::{OrderJob, run_with_key, run_with_ticket};
+use crate::query::{QueryFailure, QueryJob};
 use crate::stats;
 use crate::tickets::TICKET_PREFIX;
 use crate::view::ClusterView;
 use crate::wire::{OrderFailure, OrderReply};
 
-/// Tickets minted by one request, at most.
+/// Maximum number of tickets that one request mints.
 const MAX_TICKETS: u32 = 1_000;
 
-/// A known caller's request.
-pub struct CallerVisit {
-    /// What it works with.
+/// The context of an authenticated caller's request.
+pub struct RequestContext {
+    /// The cluster view that the request uses to its end.
     pub view: Arc<ClusterView>,
-    /// The configuration it is pinned to.
+    /// The configuration that the request uses to its end.
     pub config: Arc<Configuration>,
-    /// Who calls.
+    /// The caller.
     pub caller: Arc<CallerSpec>,
-    /// When it came in.
+    /// When the request arrived.
     pub started: Moment,
-    _work: WorkCount,
+    _work: WorkGuard,
 }
 
-/// An order's result as told to the caller.
+/// The answer to an order.
 #[derive(Debug, Serialize)]
 struct OrderAnswer<'a> {
     request: RequestId,
@@ -57,7 +57,7 @@
     result: &'a serde_json::value::RawValue,
 }
 
-/// Tickets as told to the caller.
+/// The answer to a request for tickets.
 #[derive(Debug, Serialize)]
 struct TicketAnswer {
     tickets: Vec<String>,
@@ -69,7 +69,7 @@
     key: String,
 }
 
-/// Serves the callers' port until the node ends.
+/// Serves the callers' port until the node stops.
 pub async fn serve(node: Arc<Node>, listener: Arc<TcpListener>) {
     let connections = node.settings.connections;
     let router = Router::new()
@@ -99,32 +99,32 @@
     index: &str,
     parameters: Option<&str>,
     request: Request<Body>,
-) -> Result<Told, CallerError> {
-    let visit = find_caller(node, request.headers())?;
-    let spec = find_index(&visit, index)?;
+) -> Result<CallerAnswer, CallerError> {
+    let context = authenticate(node, request.headers())?;
+    let spec = find_index(&context, index)?;
     if read_repeatable(request.headers())? == Some(false) {
         return Err(CallerError::QueryNotRepeatable);
     }
-    let deadline = read_deadline(&visit, request.headers())?;
-    let rule = read_rule(&visit.caller, request.headers())?;
-    let wanted = read_wanted(parameters)?;
+    let deadline = read_deadline(&context, request.headers())?;
+    let rule = read_finish_rule(&context.caller, request.headers())?;
+    let wanted = read_shards(parameters)?;
     let body = read_body(node, request).await?;
-    let started = visit.started;
-    let ask = QueryAsk { request: id, index: spec, body, wanted, started, deadline, rule };
-    let mut admitted = let_in(node, &visit, deadline).await?;
+    let started = context.started;
+    let job = QueryJob { request: id, index: spec, body, wanted, started, deadline, rule };
+    let mut permit = admit(node, &context, deadline).await?;
     let answer =
-        crate::query::run(node, &visit.view, &ask, &mut admitted.work).await.map_err(|failure| match failure {
+        crate::query::run(node, &context.view, &job, &mut permit.work).await.map_err(|failure| match failure {
             QueryFailure::NoSuchShard(shard, count) => CallerError::NoSuchShard(shard, count),
             QueryFailure::NoVersion => CallerError::NoVersion,
         })?;
     let result = if answer.coverage.missing.is_empty() { "whole" } else { "partial" };
-    let told = format!("{}/{}", answer.coverage.answered, answer.coverage.shards);
+    let ratio = format!("{}/{}", answer.coverage.answered, answer.coverage.shards);
     let text = serde_json::to_vec(&answer).map_err(|_| CallerError::BodyBroken)?;
-    Ok(Told { caller: visit.caller.name.to_string(), result, coverage: told, text })
+    Ok(CallerAnswer { caller: context.caller.name.to_string(), result, coverage: ratio, text })
 }
 
-/// What goes back to the caller and into the log.
-struct Told {
+/// A successful answer and its fields in the access log.
+struct CallerAnswer {
     caller: String,
     result: &'static str,
     coverage: String,
@@ -144,32 +144,32 @@
     id: RequestId,
     index: &str,
     request: Request<Body>,
-) -> Result<Told, CallerError> {
-    let visit = find_caller(node, request.headers())?;
-    let spec = find_index(&visit, index)?;
-    let deadline = read_deadline(&visit, request.headers())?;
+) -> Result<CallerAnswer, CallerError> {
+    let context = authenticate(node, request.headers())?;
+    let spec = find_index(&context, index)?;
+    let deadline = read_deadline(&context, request.headers())?;
     read_repeatable(request.headers())?;
-    let key = read_key(request.headers())?.ok_or_else(|| CallerError::KeyMissing(mint(node, &visit)))?;
+    let key = read_key(request.headers())?.ok_or_else(|| CallerError::KeyMissing(mint(node, &context)))?;
     let body = read_body(node, request).await?;
     let record = serde_json::from_slice::<OrderBody>(&body);
     let record = record.map_err(|error| CallerError::BadOrder(error.to_string()))?.key;
-    let caller = visit.caller.name.clone();
+    let caller = context.caller.name.clone();
     let index = spec.name.clone();
-    let ask = OrderAsk { request: id, caller, index, record, key, body: body.to_vec(), deadline };
-    let mut admitted = let_in(node, &visit, deadline).await?;
-    let reply = match ask.key.starts_with(TICKET_PREFIX) {
+    let job = OrderJob { request: id, caller, index, record, key, body: body.to_vec(), deadline };
+    let mut permit = admit(node, &context, deadline).await?;
+    let reply = match job.key.starts_with(TICKET_PREFIX) {
         true => {
-            let ticket = ask.key.parse().map_err(|_| CallerError::Order(OrderFailure::BadTicket, None))?;
-            run_ticket(node, ask, &ticket).await
+            let ticket = job.key.parse().map_err(|_| CallerError::Order(OrderFailure::BadTicket, None))?;
+            run_with_ticket(node, job, &ticket).await
         }
-        false => run_claimed(node, ask).await,
+        false => run_with_key(node, job).await,
     };
-    // An order waits for nothing that its place could be to blame for.
-    admitted.work.served = node.clock.now().since(visit.started);
+    // The waiting time of an order does not depend on the admission limit, so all its time counts as served.
+    permit.work.served = node.clock.now().since(context.started);
     let (shard, index_version, result) = match reply {
         OrderReply::Done { shard, version, result } => (shard, version, result),
         OrderReply::Failed(failure @ OrderFailure::ClaimFailed) => {
-            return Err(CallerError::Order(failure, Some(mint(node, &visit))));
+            return Err(CallerError::Order(failure, Some(mint(node, &context))));
         }
         OrderReply::Failed(failure) => return Err(CallerError::Order(failure, None)),
     };
@@ -177,7 +177,7 @@
     let raw = raw.map_err(|_| CallerError::Order(OrderFailure::OutcomeUnknown, None))?;
     let answer = OrderAnswer { request: id, ran: ExecutionState::Ran, shard, index_version, result: raw };
     let text = serde_json::to_vec(&answer).map_err(|_| CallerError::Order(OrderFailure::OutcomeUnknown, None))?;
-    Ok(Told { caller: visit.caller.name.to_string(), result: "ran", coverage: "1/1".to_owned(), text })
+    Ok(CallerAnswer { caller: context.caller.name.to_string(), result: "ran", coverage: "1/1".to_owned(), text })
 }
 
 async fn tickets(State(node): State<Arc<Node>>, RawQuery(parameters): RawQuery, headers: HeaderMap) -> Response {
@@ -187,27 +187,31 @@
     finish(&node, id, "tickets", "", started, result)
 }
 
-fn answer_tickets(node: &Arc<Node>, parameters: Option<&str>, headers: &HeaderMap) -> Result<Told, CallerError> {
-    let visit = find_caller(node, headers)?;
-    let taken = node.gate().take_rate(visit.started, &visit.caller.name, visit.caller.rate);
+fn answer_tickets(
+    node: &Arc<Node>,
+    parameters: Option<&str>,
+    headers: &HeaderMap,
+) -> Result<CallerAnswer, CallerError> {
+    let context = authenticate(node, headers)?;
+    let taken = node.admission().take_rate(context.started, &context.caller.name, context.caller.rate);
     taken.map_err(CallerError::OverRate)?;
     let count = find_parameter(parameters, "count").unwrap_or("1");
     let bad = || HeaderError::BadValue { name: "count", found: count.to_owned(), wanted: "a number from 1 to 1000" };
     let wanted: u32 = count.parse().ok().filter(|wanted| (1..=MAX_TICKETS).contains(wanted)).ok_or_else(bad)?;
-    let minted = (0..wanted).map(|_| mint(node, &visit));
-    let life = node.settings.ticket_life.as_millis();
-    let answer = TicketAnswer { tickets: minted.collect(), expires_in_ms: life as u64 };
+    let minted = (0..wanted).map(|_| mint(node, &context));
+    let lifetime = node.settings.ticket_life.as_millis();
+    let answer = TicketAnswer { tickets: minted.collect(), expires_in_ms: lifetime as u64 };
     let text = serde_json::to_vec(&answer).map_err(|_| CallerError::BodyBroken)?;
-    Ok(Told { caller: visit.caller.name.to_string(), result: "minted", coverage: String::new(), text })
+    Ok(CallerAnswer { caller: context.caller.name.to_string(), result: "minted", coverage: String::new(), text })
 }
 
-fn mint(node: &Node, visit: &CallerVisit) -> String {
-    node.own_book().mint(visit.started, &visit.caller.name).to_string()
+fn mint(node: &Node, context: &RequestContext) -> String {
+    node.own_tickets().mint(context.started, &context.caller.name).to_string()
 }
 
-/// Finds out who calls.
-fn find_caller(node: &Arc<Node>, headers: &HeaderMap) -> Result<CallerVisit, CallerError> {
-    // Counted before the phase is looked at, so that a stop never misses a request.
+/// Authenticates the caller by its bearer token and refuses the request if the node is stopping.
+fn authenticate(node: &Arc<Node>, headers: &HeaderMap) -> Result<RequestContext, CallerError> {
+    // The request is counted before the phase is checked, so that a stop never misses a request.
     let work = node.count_work();
     if node.is_refusing() {
         return Err(CallerError::Stopping);
@@ -217,26 +221,26 @@
     let token = headers.get(header::AUTHORIZATION).and_then(|value| value.as_bytes().strip_prefix(b"Bearer "));
     let token = ContentDigest::of(token.ok_or(CallerError::UnknownCaller)?);
     let caller = config.caller(token).ok_or(CallerError::UnknownCaller)?.clone();
-    Ok(CallerVisit { view, config, caller, started: node.clock.now(), _work: work })
+    Ok(RequestContext { view, config, caller, started: node.clock.now(), _work: work })
 }
 
-/// Logs and counts how a request ended and makes its answer.
+/// Logs and counts the result of a request and builds the HTTP response.
 fn finish(
     node: &Arc<Node>,
     id: RequestId,
     verb: &'static str,
     index: &str,
     started: Moment,
-    result: Result<Told, CallerError>,
+    result: Result<CallerAnswer, CallerError>,
 ) -> Response {
     let elapsed = node.clock.now().since(started);
     let elapsed_us = elapsed.as_micros() as u64;
     match result {
-        Ok(told) => {
-            stats::count_request(&told.caller, told.result, elapsed);
-            tracing::info!(event = "answered", request = %id, verb, index, caller = told.caller, result = told.result, coverage = told.coverage, elapsed_us);
+        Ok(answer) => {
+            stats::count_request(&answer.caller, answer.result, elapsed);
+            tracing::info!(event = "answered", request = %id, verb, index, caller = answer.caller, result = answer.result, coverage = answer.coverage, elapsed_us);
             let json = HeaderValue::from_static("application/json");
-            (StatusCode::OK, [(header::CONTENT_TYPE, json)], told.text).into_response()
+            (StatusCode::OK, [(header::CONTENT_TYPE, json)], answer.text).into_response()
         }
         Err(error) => {
             let (kind, _) = error.kind();
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -9,35 +9,35 @@
 /// What is wrong with one setting.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum SettingProblem {
-    /// The file is not YAML of the wanted shape.
+    /// The file is not valid YAML, or a value has the wrong type.
     #[error("{0}")]
     Syntax(String),
-    /// A setting without a default is missing.
+    /// A required setting is missing.
     #[error("{0} is not set; set it in the file or by --{1}")]
     Missing(&'static str, String),
     /// A number lies outside its range.
     #[error("{name} is {found}; it must be {range}")]
     OutOfRange {
-        /// The setting.
+        /// Name of the setting.
         name: &'static str,
-        /// Its value.
+        /// Value of the setting.
         found: String,
-        /// What it may be.
+        /// The allowed range.
         range: &'static str,
     },
-    /// Two ports of the node are the same.
+    /// Two ports of the node have the same address.
     #[error("{0} and {1} have the same address {2}")]
     SameAddress(&'static str, &'static str, SocketAddr),
 }
 
-/// A problem in the settings with the line it stands on, 0 for flags and missing settings.
+/// A problem in the settings with its file and line.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SettingError {
-    /// The file.
+    /// Name of the file, or `flags` without one.
     pub file: String,
-    /// The line.
+    /// Line of the setting; 0 for flags, missing settings and problems without a position.
     pub line: u64,
-    /// What is wrong.
+    /// The problem.
     pub problem: SettingProblem,
 }
 
@@ -50,58 +50,58 @@
 /// Why the daemon did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The settings file could not be read.
+    /// The settings file cannot be read.
     #[error("reading settings from {path}: {source}")]
     ReadSettings {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The settings are wrong.
+    /// The settings are invalid.
     #[error("the settings have {} problem(s)", .0.len())]
     BadSettings(Vec<SettingError>),
-    /// A port could not be opened.
+    /// A port cannot be opened.
     #[error("listening for {port} on {address}: {source}")]
     Listen {
-        /// Which port.
+        /// Name of the port.
         port: &'static str,
-        /// Where.
+        /// Address to listen on.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// The router did not start.
     #[error(transparent)]
     Router(streamfold_router::error::RouterError),
-    /// The metrics recorder could not be set up.
+    /// The metrics recorder cannot be installed.
     #[error("setting up metrics: {0}")]
     Metrics(String),
 }
 
-/// Why a caller's header is refused.
+/// Why a caller's header or URL parameter is refused.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum HeaderError {
-    /// The header is not text of the wanted form.
+    /// The value does not have the expected form.
     #[error("header {name}: {found:?} is not {wanted}")]
     BadValue {
-        /// The header.
+        /// Name of the header or parameter.
         name: &'static str,
-        /// The value.
+        /// The value, shortened.
         found: String,
-        /// What it may be.
+        /// The expected form.
         wanted: &'static str,
     },
-    /// The key is too long or holds characters that are not visible ASCII.
+    /// The idempotency key is empty, too long, or has characters other than visible ASCII.
     #[error("header idempotency-key holds 1 to 128 visible ASCII characters")]
     BadKey,
 }
 
-/// Why a piece of a query gave no results.
+/// Why a piece of a query has no results.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PieceFailure {
-    /// The reason told to the caller.
+    /// The reason that the caller receives.
     pub reason: MissingReason,
-    /// How the attempt behind it ended.
+    /// The combined outcome of its attempts.
     pub outcome: streamfold_model::AttemptOutcome,
 }
--- a/crates/daemon/src/gossip.rs
+++ b/crates/daemon/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between nodes, and the spread of newer configurations along with them.
+//! Gossip between nodes: heartbeats for the failure detector, and the distribution of newer configurations.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,53 +13,53 @@
 use crate::wire::{ConfigReply, GossipMessage, PATH_CONFIG, PATH_GOSSIP};
 use streamfold_link::{PeerLink, encode_frame};
 
-/// Entries in one heartbeat, at most, so that its cost does not grow with the fleet.
+/// Maximum number of entries in one heartbeat, so that its cost does not grow with the number of nodes.
 const MAX_ENTRIES: usize = 24;
-/// How long a heartbeat may take.
+/// Timeout of a heartbeat exchange.
 const GOSSIP_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long fetching a configuration may take.
+/// Timeout of fetching a configuration from another node.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(5);
-/// Nodes told at once of news that should not wait for the next heartbeat.
+/// Nodes per group (own domain, other domains) that receive an urgent update without waiting for the next heartbeat.
 const URGENT_FANOUT: usize = 4;
-/// One heartbeat in this many also goes to a node that looks dead, or to a seed.
-const REACH_OUT_EVERY: u64 = 8;
-/// One heartbeat in this many asks the platform for its VM list.
-const VM_LIST_EVERY: u64 = 120;
+/// One round of heartbeats in this many also contacts a node that looks dead, or a seed.
+const REACH_OUT_INTERVAL: u64 = 8;
+/// One round of heartbeats in this many reads the platform's VM list.
+const VM_LIST_INTERVAL: u64 = 120;
 
-/// Sends heartbeats until the node ends.
+/// Sends heartbeats until the task is aborted.
 pub async fn run(node: Arc<Node>) {
     let mut tick: u64 = 0;
     loop {
         node.beat();
-        if tick.is_multiple_of(VM_LIST_EVERY) {
-            tokio::spawn(learn_vms(node.clone()));
+        if tick.is_multiple_of(VM_LIST_INTERVAL) {
+            tokio::spawn(refresh_seeds(node.clone()));
         }
         let mut targets = choose_targets(&node, 1);
-        if tick.is_multiple_of(REACH_OUT_EVERY) || targets.is_empty() {
-            targets.extend(choose_lost(&node));
+        if tick.is_multiple_of(REACH_OUT_INTERVAL) || targets.is_empty() {
+            targets.extend(choose_unreachable(&node));
         }
         for link in targets {
             tokio::spawn(exchange(node.clone(), link));
         }
         tick += 1;
         let jitter = rand::random_range(0.8..1.2);
-        let pause = node.settings.heartbeat.mul_f64(jitter);
+        let delay = node.settings.heartbeat.mul_f64(jitter);
         tokio::select! {
-            () = tokio::time::sleep(pause) => {}
-            () = node.urgent.notified() => tell_urgently(&node),
+            () = tokio::time::sleep(delay) => {}
+            () = node.urgent.notified() => send_urgent(&node),
         }
     }
 }
 
-/// Tells several nodes at once, so that news is everywhere within a few hops.
-fn tell_urgently(node: &Arc<Node>) {
+/// Sends an update to several nodes at once, so that it reaches all nodes within a few hops.
+fn send_urgent(node: &Arc<Node>) {
     node.beat();
     for link in choose_targets(node, URGENT_FANOUT) {
         tokio::spawn(exchange(node.clone(), link));
     }
 }
 
-/// Random nodes that look live: `count` of the own domain and as many of others.
+/// Chooses random nodes that are not dead: `count` in the own failure domain and as many in others.
 fn choose_targets(node: &Node, count: usize) -> Vec<Arc<PeerLink>> {
     let mut near = Vec::new();
     let mut far = Vec::new();
@@ -75,14 +75,15 @@
             group.push(entry.node.clone());
         }
     }
-    let mut dice = rand::rng();
-    let mut chosen: Vec<NodeId> = near.choose_multiple(&mut dice, count).cloned().collect();
-    chosen.extend(far.choose_multiple(&mut dice, count).cloned());
+    let mut rng = rand::rng();
+    let mut chosen: Vec<NodeId> = near.choose_multiple(&mut rng, count).cloned().collect();
+    chosen.extend(far.choose_multiple(&mut rng, count).cloned());
     chosen.iter().filter_map(|name| node.links.get(name)).collect()
 }
 
-/// A node that looks dead or a seed nobody is known at, so that a healed cut is noticed.
-fn choose_lost(node: &Node) -> Option<Arc<PeerLink>> {
+/// Chooses a node that looks dead, or a seed at whose address no live node is known, so that the end of a network
+/// partition is noticed.
+fn choose_unreachable(node: &Node) -> Option<Arc<PeerLink>> {
     let now = node.clock.now();
     let mut addresses: Vec<SocketAddr> = node.seeds();
     {
@@ -96,13 +97,13 @@
         addresses.retain(|address| !known.contains(address) && *address != members.own().peer_address);
     }
     let address = addresses.choose(&mut rand::rng())?;
-    Some(node.links.at(*address))
+    Some(node.links.for_address(*address))
 }
 
-async fn learn_vms(node: Arc<Node>) {
+async fn refresh_seeds(node: Arc<Node>) {
     let Ok(vms) = node.vms.vms().await else { return };
     let listed = vms.into_iter().filter(|vm| vm.node != node.settings.node && !vm.leaving);
-    node.learn_seeds(listed.map(|vm| vm.peer_address).collect());
+    node.set_listed_seeds(listed.map(|vm| vm.peer_address).collect());
 }
 
 fn own_message(node: &Node) -> GossipMessage {
@@ -110,7 +111,7 @@
     GossipMessage { entries: members.sample(MAX_ENTRIES), handovers: members.handovers() }
 }
 
-/// Sends a heartbeat over a link and takes in the answer.
+/// Sends a heartbeat over a link and merges the answer.
 pub async fn exchange(node: Arc<Node>, link: Arc<PeerLink>) {
     let message = own_message(&node);
     if let Ok(frame) = encode_frame(&message) {
@@ -119,14 +120,14 @@
     let answer = link.call::<_, GossipMessage>(PATH_GOSSIP, &message, GOSSIP_TIMEOUT).await;
     let Ok(answer) = answer else { return };
     let sender = answer.entries.first().cloned();
-    take(&node, answer);
+    merge(&node, answer);
     if let Some(sender) = sender {
         fetch_if_newer(&node, &sender).await;
     }
 }
 
-/// Takes in a heartbeat.
-pub fn take(node: &Arc<Node>, message: GossipMessage) {
+/// Merges a received heartbeat into the membership table.
+pub fn merge(node: &Arc<Node>, message: GossipMessage) {
     let now = node.clock.now();
     if let Some(sender) = message.entries.first() {
         node.keeper.confirm(sender.config, sender.config_age_ms);
@@ -140,10 +141,10 @@
     }
 }
 
-/// Answers a heartbeat; if its sender has a newer configuration, it is fetched from there.
+/// Merges a heartbeat and returns the answer. If the sender has a newer configuration, it is fetched in the background.
 pub fn answer(node: &Arc<Node>, message: GossipMessage) -> GossipMessage {
     let sender: Option<MemberEntry> = message.entries.first().cloned();
-    take(node, message);
+    merge(node, message);
     if let Some(sender) = sender
         && sender.config > node.keeper.version()
     {
@@ -157,9 +158,9 @@
     if sender.config <= node.keeper.version() {
         return;
     }
-    let link = node.links.at(sender.peer_address);
-    let wanted = node.keeper.version();
-    let reply = link.call::<ConfigVersion, ConfigReply>(PATH_CONFIG, &wanted, FETCH_TIMEOUT).await;
+    let link = node.links.for_address(sender.peer_address);
+    let known = node.keeper.version();
+    let reply = link.call::<ConfigVersion, ConfigReply>(PATH_CONFIG, &known, FETCH_TIMEOUT).await;
     if let Ok(ConfigReply { bundle: Some(bundle) }) = reply {
         node.offer(bundle);
     }
--- a/crates/daemon/src/headers.rs
+++ b/crates/daemon/src/headers.rs
@@ -1,4 +1,4 @@
-//! Header names and values towards servers, made ready for use on the path of a request.
+//! Headers of requests to servers and of their answers, parsed once so that a request does not parse them again.
 
 use std::fmt::Display;
 
@@ -28,10 +28,10 @@
 /// See [`server::SERVER_HEADER_RAN`].
 pub const RAN: HeaderName = HeaderName::from_static(server::SERVER_HEADER_RAN);
 
-/// A value that never comes again. Marked sensitive, it stays out of HTTP/2's table of
-/// headers, where it would only push out those that do come again.
-pub fn single_use(value: &impl Display) -> HeaderValue {
-    // Ids and numbers are always visible ASCII.
+/// A header value that is used only once. It is marked sensitive, which keeps it out of HTTP/2's header compression table
+/// (HPACK), where it would evict values that repeat.
+pub fn unindexed_value(value: &impl Display) -> HeaderValue {
+    // Ids, numbers and keys are visible ASCII, so this does not fail.
     let mut value = HeaderValue::from_str(&value.to_string()).unwrap_or_else(|_| HeaderValue::from_static(""));
     value.set_sensitive(true);
     value
--- a/crates/daemon/src/http_server.rs
+++ b/crates/daemon/src/http_server.rs
@@ -1,5 +1,4 @@
-//! Serves HTTP/1.1 and HTTP/2 on a port, with bounds on connections and slow senders, and a
-//! stop that lets open requests finish.
+//! HTTP/1.1 and HTTP/2 server with limits on connections, headers and slow clients, and a graceful shutdown.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,20 +14,21 @@
 use crate::node::Node;
 use crate::stop::StopPhase;
 
-/// How long a sender may take for its headers.
+/// Timeout for reading a request's headers.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Streams one HTTP/2 connection may have open.
+/// Maximum number of concurrent streams of an HTTP/2 connection.
 const MAX_STREAMS: u32 = 1_000;
-/// Header bytes taken on one request.
-const MAX_HEADERS: usize = 64 << 10;
-/// Pause when no connection can be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum size of a request's headers, in bytes.
+const MAX_HEADER_BYTES: usize = 64 << 10;
+/// Delay after an error of `accept`.
+const ACCEPT_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves a router until the node has ended, then lets open connections finish.
+/// Serves a router until the node has stopped, then waits for open requests to finish. Connections beyond `connections`
+/// are closed at once.
 pub async fn serve(node: Arc<Node>, listener: Arc<TcpListener>, router: Router, connections: usize) {
     let mut builder = Builder::new(TokioExecutor::new());
-    builder.http1().timer(TokioTimer::new()).header_read_timeout(HEADER_TIMEOUT).max_buf_size(MAX_HEADERS);
-    builder.http2().max_concurrent_streams(MAX_STREAMS).max_header_list_size(MAX_HEADERS as u32);
+    builder.http1().timer(TokioTimer::new()).header_read_timeout(HEADER_TIMEOUT).max_buf_size(MAX_HEADER_BYTES);
+    builder.http2().max_concurrent_streams(MAX_STREAMS).max_header_list_size(MAX_HEADER_BYTES as u32);
     let graceful = GracefulShutdown::new();
     let permits = Arc::new(Semaphore::new(connections));
     let mut phase = node.watch_phase();
@@ -38,17 +38,17 @@
             _ = phase.wait_for(|phase| *phase == StopPhase::Ended) => break,
         };
         let Ok((stream, _)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_DELAY).await;
             continue;
         };
         let Ok(permit) = permits.clone().try_acquire_owned() else { continue };
-        // Without it small answers wait for each other; a socket that refuses it works all the same.
+        // Nagle's algorithm delays small answers. A socket that refuses the option still works.
         let _ = stream.set_nodelay(true);
         let service = TowerToHyperService::new(router.clone());
         let connection = builder.serve_connection(TokioIo::new(stream), service).into_owned();
         let connection = graceful.watch(connection);
         tokio::spawn(async move {
-            // A connection that fails is its caller's to notice.
+            // The client notices when its connection fails.
             let _ = connection.await;
             drop(permit);
         });
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,18 +1,18 @@
-//! The daemon `streamfoldd`: one node of the query tier. As a library it lets the lab run
-//! several nodes in one process.
+//! The daemon `streamfoldd`, one node of the query tier. It is also a library, so that the lab can run several nodes in
+//! one process.
 
 pub mod admission;
 pub mod caller_error;
 pub mod caller_input;
 pub mod callers;
 pub mod error;
-pub mod fold;
 pub mod gossip;
 pub mod headers;
 pub mod http_server;
 pub mod keeper;
 pub mod links;
 pub mod logs;
+pub mod merger;
 pub mod metered;
 pub mod metrics_text;
 pub mod node;
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -1,4 +1,4 @@
-//! The links to other nodes, by node and by address.
+//! Connections (links) to other nodes, by node and by address.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,8 +8,7 @@
 
 use streamfold_link::PeerLink;
 
-/// All links of this node. A link is kept by its address, so a node that comes back at
-/// another address gets another link.
+/// All links of this node. Links are stored by address, so a node that restarts at another address gets a new link.
 #[derive(Default)]
 pub struct PeerLinks {
     by_address: Mutex<HashMap<SocketAddr, Arc<PeerLink>>>,
@@ -21,19 +20,19 @@
 }
 
 impl PeerLinks {
-    /// The link to an address, made if there is none.
-    pub fn at(&self, address: SocketAddr) -> Arc<PeerLink> {
+    /// The link to an address; created if there is none.
+    pub fn for_address(&self, address: SocketAddr) -> Arc<PeerLink> {
         lock(&self.by_address).entry(address).or_insert_with(|| PeerLink::new(address)).clone()
     }
 
     /// The link to a node, if its address is known.
     pub fn get(&self, node: &NodeId) -> Option<Arc<PeerLink>> {
         let address = lock(&self.by_node).get(node).copied();
-        address.map(|address| self.at(address))
+        address.map(|address| self.for_address(address))
     }
 
-    /// Notes where the nodes are and drops links that lead nowhere any more.
-    pub fn keep(&self, nodes: HashMap<NodeId, SocketAddr>, seeds: &[SocketAddr]) {
+    /// Replaces the addresses of the nodes and drops the links to addresses of neither a node nor a seed.
+    pub fn update(&self, nodes: HashMap<NodeId, SocketAddr>, seeds: &[SocketAddr]) {
         lock(&self.by_address)
             .retain(|address, _| nodes.values().any(|known| known == address) || seeds.contains(address));
         *lock(&self.by_node) = nodes;
--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -1,5 +1,5 @@
-//! Structured logs: one key=value line for each event, on standard output. Lines wait in a
-//! bounded buffer that a thread of its own empties, so that nobody waits for a slow reader.
+//! Structured logs: one key=value line for each event, on standard output. A separate thread writes the lines from a
+//! bounded buffer, so that a slow reader of standard output blocks no other thread.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,24 +12,24 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// Bytes that may wait; a line that finds no room is dropped and counted.
-const MAX_WAITING: usize = 256 << 10;
-/// How often the buffer is emptied.
-const FLUSH_EVERY: Duration = Duration::from_millis(200);
+/// Capacity of the buffer in bytes. A line that does not fit is dropped and counted.
+const MAX_BUFFERED: usize = 256 << 10;
+/// Time between two writes of the buffer.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long the end of the process waits for its last lines to be written. Whoever reads them
-/// may have stopped, and a process that does not end is killed.
-const FLUSH_WITHIN: Duration = Duration::from_millis(300);
+/// How long the exiting process waits for its last lines to be written. The reader of standard output may have stopped,
+/// and a process that does not exit is killed.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Lines that wait to be written.
+/// Lines that are not written yet.
 #[derive(Default)]
 struct LogBuffer {
-    waiting: Mutex<Vec<u8>>,
+    buffered: Mutex<Vec<u8>>,
     dropped: AtomicU64,
 }
 
 static BUFFER: OnceLock<LogBuffer> = OnceLock::new();
-/// Asks the thread of the logs to write what waits and to say when it has.
+/// Sends flush requests to the log thread; the enclosed sender is notified when the buffer is written.
 static FLUSHER: OnceLock<Sender<Sender<()>>> = OnceLock::new();
 
 fn buffer() -> &'static LogBuffer {
@@ -37,22 +37,22 @@
 }
 
 impl LogBuffer {
-    fn waiting(&self) -> MutexGuard<'_, Vec<u8>> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn buffered(&self) -> MutexGuard<'_, Vec<u8>> {
+        self.buffered.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn add(&self, line: &[u8]) {
-        let mut waiting = self.waiting();
-        if waiting.len() + line.len() > MAX_WAITING {
+    fn push(&self, line: &[u8]) {
+        let mut buffered = self.buffered();
+        if buffered.len() + line.len() > MAX_BUFFERED {
             self.dropped.fetch_add(1, Ordering::Relaxed);
             metrics::counter!("streamfold_log_lines_dropped_total").increment(1);
             return;
         }
-        waiting.extend_from_slice(line);
+        buffered.extend_from_slice(line);
     }
 
     fn take(&self) -> Vec<u8> {
-        let mut lines = std::mem::take(&mut *self.waiting());
+        let mut lines = std::mem::take(&mut *self.buffered());
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
         if dropped > 0 {
             lines.extend_from_slice(format!("level=warn event=log_lines_dropped count={dropped}\n").as_bytes());
@@ -61,12 +61,12 @@
     }
 }
 
-/// One line on its way into the buffer.
+/// Writes lines to the buffer.
 struct LogLine(&'static LogBuffer);
 
 impl Write for LogLine {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        self.0.add(bytes);
+        self.0.push(bytes);
         Ok(bytes.len())
     }
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// Makes writers into the buffer.
+/// Creates writers to the buffer.
 struct BufferWriter;
 
 impl MakeWriter<'_> for BufferWriter {
@@ -86,63 +86,63 @@
     }
 }
 
-/// Has what waits written out, within a bounded time.
+/// Writes the buffered lines, or gives up after [`FLUSH_TIMEOUT`].
 pub fn flush() {
-    let Some(flusher) = FLUSHER.get() else { return write_out() };
+    let Some(flusher) = FLUSHER.get() else { return write_buffered() };
     let (written, is_written) = channel();
-    // Without the thread, or without room in standard output, the lines stay unwritten.
+    // The lines are lost if the thread has ended or standard output is blocked.
     let _ = flusher.send(written);
-    let _ = is_written.recv_timeout(FLUSH_WITHIN);
+    let _ = is_written.recv_timeout(FLUSH_TIMEOUT);
 }
 
-/// Writes out what waits, however long that takes.
-fn write_out() {
+/// Writes the buffered lines, without a time limit.
+fn write_buffered() {
     let lines = buffer().take();
     if lines.is_empty() {
         return;
     }
     let mut output = std::io::stdout().lock();
-    // Where standard output is gone there is nobody left to tell.
+    // If standard output is closed, the error cannot be reported anywhere.
     let _ = output.write_all(&lines).and_then(|()| output.flush());
 }
 
-/// Has each panic told as a line with its place, since the task that panics cannot say itself what it was doing.
-fn log_panics() {
+/// Logs each panic with its source location, since the task that panics cannot log it itself.
+fn install_panic_hook() {
     std::panic::set_hook(Box::new(|panic| {
-        let place = panic.location().map(ToString::to_string);
+        let location = panic.location().map(ToString::to_string);
         let error = panic.payload_as_str();
-        tracing::error!(event = "panicked", thread = std::thread::current().name(), place, error);
+        tracing::error!(event = "panicked", thread = std::thread::current().name(), place = location, error);
         metrics::counter!("streamfold_panics_total").increment(1);
     }));
 }
 
-/// Starts logging with a filter such as `info`; one that cannot be read counts as `info`.
+/// Starts logging with a filter such as `info`; an invalid filter is replaced by `info`.
 pub fn start(filter: &str) {
     let filter = EnvFilter::try_new(filter).unwrap_or_else(|_| EnvFilter::new("info"));
     let layer = tracing_logfmt::builder().with_target(false).layer().with_writer(BufferWriter);
-    // A second start in one process keeps the first.
+    // If logging was started before in this process, that subscriber stays.
     let _ = tracing_subscriber::registry().with(filter).with(layer).try_init();
-    log_panics();
-    let (flusher, asked) = channel();
-    let thread = std::thread::Builder::new().name("logs".to_owned()).spawn(move || run(&asked));
+    install_panic_hook();
+    let (flusher, requests) = channel();
+    let thread = std::thread::Builder::new().name("logs".to_owned()).spawn(move || run(&requests));
     match thread {
-        // A second start in one process keeps the first.
+        // If logging was started before in this process, its thread stays in use.
         Ok(_) => drop(FLUSHER.set(flusher)),
         Err(error) => eprintln!("streamfoldd: starting the log thread: {error}"),
     }
 }
 
-/// Writes out what waits, time and again and when asked.
-fn run(asked: &Receiver<Sender<()>>) {
+/// Writes the buffered lines at intervals and on request.
+fn run(requests: &Receiver<Sender<()>>) {
     loop {
-        let written = match asked.recv_timeout(FLUSH_EVERY) {
+        let written = match requests.recv_timeout(FLUSH_INTERVAL) {
             Ok(written) => Some(written),
             Err(RecvTimeoutError::Timeout) => None,
             Err(RecvTimeoutError::Disconnected) => return,
         };
-        write_out();
+        write_buffered();
         if let Some(written) = written {
-            // Whoever asked may have given up waiting.
+            // The receiver is gone if the flush timed out.
             let _ = written.send(());
         }
     }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `streamfoldd`: reads settings, runs one node, stops as planned on SIGTERM or SIGINT.
+//! `streamfoldd`: reads the settings, runs one node and stops it gracefully on SIGTERM or SIGINT.
 
 use std::process::ExitCode;
 
@@ -9,51 +9,51 @@
 use streamfold_router::RouterSettings;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Exit code for wrong settings.
+/// Exit code for invalid settings.
 const EXIT_SETTINGS: u8 = 2;
 
 fn main() -> ExitCode {
-    // First of all: what comes before it ends the process.
-    if let Err(error) = route_node::hold_hangups() {
-        eprintln!("streamfoldd: taking SIGHUP: {error}");
+    // This comes first, since a SIGHUP before it ends the process.
+    if let Err(error) = route_node::ignore_hangups() {
+        eprintln!("streamfoldd: ignoring SIGHUP: {error}");
     }
     let args: DaemonArgs = daemon_args().run();
     match settings::read_mode(&args) {
         Ok(ServeMode::Indexes) => serve_indexes(&args),
         Ok(ServeMode::Routes) => serve_routes(&args),
-        Err(error) => tell_settings(&error),
+        Err(error) => report_error(&error),
     }
 }
 
 fn serve_indexes(args: &DaemonArgs) -> ExitCode {
     let settings = match settings::load(args) {
         Ok(settings) => settings,
-        Err(error) => return tell_settings(&error),
+        Err(error) => return report_error(&error),
     };
     if args.check {
-        return tell_valid(settings.node.as_str());
+        return report_valid(settings.node.as_str());
     }
-    end(run_indexes(settings))
+    exit_code(run_indexes(settings))
 }
 
 fn serve_routes(args: &DaemonArgs) -> ExitCode {
     let file = SettingsFile::read(args);
     let settings = match route_node::load(args) {
         Ok(settings) => settings,
-        Err(error) => return tell_settings(&error),
+        Err(error) => return report_error(&error),
     };
     if args.check {
-        return tell_valid(settings.node.as_str());
+        return report_valid(settings.node.as_str());
     }
-    end(run_routes(args, settings, file))
+    exit_code(run_routes(args, settings, file))
 }
 
-fn tell_valid(node: &str) -> ExitCode {
+fn report_valid(node: &str) -> ExitCode {
     println!("settings of node {node} are valid");
     ExitCode::SUCCESS
 }
 
-fn end(result: Result<(), StartError>) -> ExitCode {
+fn exit_code(result: Result<(), StartError>) -> ExitCode {
     logs::flush();
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -64,7 +64,7 @@
     }
 }
 
-fn tell_settings(error: &StartError) -> ExitCode {
+fn report_error(error: &StartError) -> ExitCode {
     eprintln!("streamfoldd: {error}");
     if let StartError::BadSettings(problems) = error {
         for problem in problems {
@@ -76,7 +76,7 @@
 
 #[tokio::main]
 async fn run_indexes(settings: NodeSettings) -> Result<(), StartError> {
-    let stop = StopSignals::take();
+    let stop = StopSignals::install();
     logs::start(&settings.log);
     metrics_text::install()?;
     let running = node_start::start(settings).await?;
@@ -87,9 +87,9 @@
 
 #[tokio::main(worker_threads = 2)]
 async fn run_routes(args: &DaemonArgs, settings: RouterSettings, file: SettingsFile) -> Result<(), StartError> {
-    // Signals are taken first: a node may be stopped or told of settings while it starts.
-    let stop = StopSignals::take();
-    let hangups = route_node::take_hangups();
+    // Handlers are installed before the start, since an operator may send a signal while the node starts.
+    let stop = StopSignals::install();
+    let hangups = route_node::listen_for_hangups();
     logs::start(&settings.log);
     metrics_text::install()?;
     let running = route_node::start(settings).await?;
@@ -99,14 +99,14 @@
     Ok(())
 }
 
-/// SIGTERM and SIGINT, taken before anything else runs.
+/// Handlers of SIGTERM and SIGINT, installed before the node starts.
 struct StopSignals {
     terminate: std::io::Result<Signal>,
     interrupt: std::io::Result<Signal>,
 }
 
 impl StopSignals {
-    fn take() -> Self {
+    fn install() -> Self {
         Self { terminate: signal(SignalKind::terminate()), interrupt: signal(SignalKind::interrupt()) }
     }
 
--- a/crates/daemon/src/fold.rs
+++ b/crates/daemon/src/merger.rs
@@ -1,5 +1,5 @@
-//! Folds the replies of one query into one answer. Only this aggregate decides what the
-//! coverage says, so coverage and results cannot differ.
+//! Merges the replies of one query into one answer. The coverage is derived from the merged results here and nowhere
+//! else, so coverage and results cannot differ.
 
 use std::collections::BTreeMap;
 
@@ -12,26 +12,25 @@
     Missing(MissingReason),
 }
 
-/// The shards of one query at one index version.
-pub struct AnswerFold {
+/// The state of each shard of one query at one index version.
+pub struct AnswerMerger {
     shards: BTreeMap<ShardId, ShardState>,
     answered: usize,
     pending: usize,
 }
 
-impl AnswerFold {
-    /// Nothing answered yet.
+impl AnswerMerger {
+    /// Creates a merger with all shards pending.
     pub fn new(shards: &[ShardId]) -> Self {
         let shards: BTreeMap<_, _> = shards.iter().map(|shard| (*shard, ShardState::Pending)).collect();
         let pending = shards.len();
         Self { shards, answered: 0, pending }
     }
 
-    /// Folds one shard's result; one that is malformed leaves the shard missing. A shard
-    /// that is answered stays so.
+    /// Adds the result of a shard. A malformed result marks the shard as missing; the first valid result is kept.
     pub fn add(&mut self, shard: ShardId, result: Vec<u8>) {
         let raw = String::from_utf8(result).ok().and_then(|text| RawValue::from_string(text).ok());
-        let Some(raw) = raw else { return self.miss(shard, MissingReason::BadAnswer) };
+        let Some(raw) = raw else { return self.mark_missing(shard, MissingReason::BadAnswer) };
         let Some(state) = self.shards.get_mut(&shard) else { return };
         if matches!(state, ShardState::Answered(_)) {
             return;
@@ -41,8 +40,8 @@
         *state = ShardState::Answered(raw);
     }
 
-    /// Notes that a shard is missing, unless it is answered.
-    pub fn miss(&mut self, shard: ShardId, reason: MissingReason) {
+    /// Marks a shard as missing, unless it has been answered.
+    pub fn mark_missing(&mut self, shard: ShardId, reason: MissingReason) {
         let Some(state) = self.shards.get_mut(&shard) else { return };
         match state {
             ShardState::Answered(_) => {}
@@ -59,27 +58,27 @@
         self.pending == 0
     }
 
-    /// Shards answered.
+    /// The number of answered shards.
     pub fn answered(&self) -> usize {
         self.answered
     }
 
-    /// Shards asked for.
+    /// The number of requested shards.
     pub fn len(&self) -> usize {
         self.shards.len()
     }
 
-    /// Whether no shard was asked for.
+    /// Whether no shards were requested.
     pub fn is_empty(&self) -> bool {
         self.shards.is_empty()
     }
 
-    /// Shards missing for a reason.
+    /// The number of shards that are missing for this reason.
     pub fn count_missing(&self, reason: MissingReason) -> usize {
         self.shards.values().filter(|state| matches!(state, ShardState::Missing(found) if *found == reason)).count()
     }
 
-    /// The results and what they cover; what is pending counts as late.
+    /// Returns the coverage and the results; pending shards are reported as late.
     pub fn finish(self) -> (ShardCoverage, BTreeMap<ShardId, Box<RawValue>>) {
         let shards = self.shards.len();
         let mut missing = Vec::new();
--- a/crates/daemon/src/metered.rs
+++ b/crates/daemon/src/metered.rs
@@ -1,4 +1,4 @@
-//! Counts every call to the platform's store, and never makes more than a set rate of them.
+//! Counts the calls to the platform's store and limits their rate with a token bucket.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -11,26 +11,26 @@
 use crate::clock::NodeClock;
 use crate::stats;
 
-/// Calls a second of one node, at most.
+/// Maximum number of store calls per second of one node.
 const MAX_CALL_RATE: f64 = 100.0;
-/// The status told for a call over that rate, which is not made.
+/// HTTP status of the error for a call over that rate. The call is not sent.
 const OVER_RATE: u16 = 429;
 
-/// A store whose calls are counted and bounded.
+/// A store client that counts calls and limits their rate.
 pub struct MeteredStore {
     inner: Arc<dyn ObjectStore>,
     clock: NodeClock,
-    gate: Mutex<TokenBucket>,
+    bucket: Mutex<TokenBucket>,
 }
 
 impl MeteredStore {
-    /// Meters the calls to a store.
+    /// Wraps a store client.
     pub fn new(inner: Arc<dyn ObjectStore>) -> Self {
-        Self { inner, clock: NodeClock::start(), gate: Mutex::default() }
+        Self { inner, clock: NodeClock::start(), bucket: Mutex::default() }
     }
 
     async fn meter<T>(&self, kind: &'static str, call: StoreFuture<'_, T>) -> Result<T, StoreError> {
-        if !self.admit(self.clock.now()) {
+        if !self.take_token(self.clock.now()) {
             return Err(StoreError::Unavailable(OVER_RATE));
         }
         let result = call.await;
@@ -38,9 +38,9 @@
         result
     }
 
-    fn admit(&self, now: Moment) -> bool {
-        let mut gate = self.gate.lock().unwrap_or_else(PoisonError::into_inner);
-        gate.take(now, MAX_CALL_RATE).is_ok()
+    fn take_token(&self, now: Moment) -> bool {
+        let mut bucket = self.bucket.lock().unwrap_or_else(PoisonError::into_inner);
+        bucket.take(now, MAX_CALL_RATE).is_ok()
     }
 }
 
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -1,5 +1,5 @@
-//! One node: what its parts share. How it starts, its view of the cluster and the books of
-//! tickets it holds have files of their own.
+//! The state that all tasks of a node share. The start, the cluster view and the ticket tables are in modules of their
+//! own.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -16,7 +16,7 @@
 use streamfold_store::{ConfigStore, ObjectStore, RequestClaims, VmList};
 use tokio::sync::{Notify, oneshot, watch};
 
-use crate::admission::AdmittedVisit;
+use crate::admission::AdmissionPermit;
 use crate::clock::{NodeClock, wall_ms};
 use crate::keeper::{ConfigKeeper, OfferResult};
 use crate::links::PeerLinks;
@@ -26,56 +26,58 @@
 use crate::owner::OwnerPools;
 use crate::settings::{NodeSettings, PolicyChoice};
 use crate::stop::StopPhase;
-use crate::tickets::TicketBook;
+use crate::tickets::TicketTable;
 use crate::view::ClusterView;
 
-/// Heartbeats a node may miss before it is suspected, and before it gets no work.
-const SUSPECT_BEATS: u32 = 6;
-const DEAD_BEATS: u32 = 16;
-/// Callers' own keys remembered at most.
-const MAX_OWN_KEYS: usize = 100_000;
-/// Replies of other nodes wanted before their latency means something.
-const OWNER_SAMPLES: u32 = 100;
-/// A node that has not replied after so many times this quantile is taken to be silent.
+/// Missed heartbeats after which a node is suspected, and after which it counts as dead and gets no work.
+const SUSPECT_AFTER_BEATS: u32 = 6;
+const DEAD_AFTER_BEATS: u32 = 16;
+/// Maximum number of remembered idempotency keys that callers chose themselves.
+const MAX_CALLER_KEYS: usize = 100_000;
+/// Replies of other nodes required before their latency quantile is meaningful.
+const MIN_OWNER_SAMPLES: u32 = 100;
+/// An owner that has not replied after this quantile of the latency times the factor counts as unresponsive.
 const OWNER_QUANTILE: f64 = 0.99;
-const OWNER_PATIENCE: u32 = 2;
-const MIN_PATIENCE: Duration = Duration::from_millis(10);
-/// Pieces sent to a second owner, as a share of all, and how many at once.
+const OWNER_HEDGE_FACTOR: u32 = 2;
+/// Minimum of that delay.
+const MIN_OWNER_HEDGE_DELAY: Duration = Duration::from_millis(10);
+/// Budget of pieces that are hedged to a second owner: their share of all pieces, and the maximum burst.
 const OWNER_HEDGE_SHARE: f64 = 0.05;
 const OWNER_HEDGE_RESERVE: f64 = 200.0;
-/// Gives a waiting request its place; dropped, the request is given up.
-pub type AdmissionTag = oneshot::Sender<AdmittedVisit>;
 
-/// One node and everything its parts share.
+/// Sends the permit to a queued request. Dropping it refuses the request.
+pub type AdmissionTag = oneshot::Sender<AdmissionPermit>;
+
+/// The shared state of one node.
 pub struct Node {
-    /// Its settings.
+    /// The node's settings.
     pub settings: NodeSettings,
-    /// Its clock.
+    /// The node's clock.
     pub clock: NodeClock,
-    /// Its run.
+    /// Identifies this run of the node.
     pub incarnation: Incarnation,
     /// The configuration in force.
     pub keeper: ConfigKeeper,
-    /// Configurations in the store.
+    /// Client of the configurations in the store.
     pub store: ConfigStore,
-    /// Claims of callers' own keys.
+    /// Claims of callers' own keys in the store.
     pub claims: RequestClaims,
     /// The platform's VM list.
     pub vms: Arc<dyn VmList>,
-    /// Pools of owned upstreams.
+    /// Connection pools of the upstreams that this node owns.
     pub pools: Arc<OwnerPools>,
     /// Links to other nodes.
     pub links: PeerLinks,
-    /// Outcomes of callers' own keys.
-    pub own_keys: OutcomeTable<(CallerName, String)>,
-    /// Told when news should not wait for the next heartbeat.
+    /// Outcomes of orders under keys that callers chose themselves.
+    pub caller_keys: OutcomeTable<(CallerName, String)>,
+    /// Notified of an update that is sent without waiting for the next heartbeat.
     pub urgent: Notify,
     members: Mutex<MemberTable>,
     pub(crate) view: ArcSwap<ClusterView>,
-    pub(crate) own_book: TicketBook,
-    pub(crate) adopted: Mutex<Vec<Arc<TicketBook>>>,
-    gate: Mutex<AdmissionControl<AdmissionTag>>,
-    claim_gate: Mutex<TokenBucket>,
+    pub(crate) own_tickets: TicketTable,
+    pub(crate) adopted: Mutex<Vec<Arc<TicketTable>>>,
+    admission: Mutex<AdmissionControl<AdmissionTag>>,
+    claim_bucket: Mutex<TokenBucket>,
     listed_seeds: Mutex<Vec<SocketAddr>>,
     owner_replies: Mutex<(LatencyHistogram, TokenBudget)>,
     phase: watch::Sender<StopPhase>,
@@ -83,17 +85,17 @@
     pub(crate) orders: Arc<AtomicUsize>,
 }
 
-/// Counts one piece of work for as long as it lives.
-pub struct WorkCount(Arc<AtomicUsize>);
+/// Counts one piece of work in flight until it is dropped.
+pub struct WorkGuard(Arc<AtomicUsize>);
 
-impl WorkCount {
+impl WorkGuard {
     fn new(counter: &Arc<AtomicUsize>) -> Self {
         counter.fetch_add(1, Ordering::SeqCst);
         Self(counter.clone())
     }
 }
 
-impl Drop for WorkCount {
+impl Drop for WorkGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
@@ -128,12 +130,12 @@
         let platform = Arc::new(PlatformClient::new(settings.platform));
         let store: Arc<dyn ObjectStore> = Arc::new(MeteredStore::new(platform.clone()));
         let times = MemberTimes {
-            suspect_after: settings.heartbeat * SUSPECT_BEATS,
-            dead_after: settings.heartbeat * DEAD_BEATS,
+            suspect_after: settings.heartbeat * SUSPECT_AFTER_BEATS,
+            dead_after: settings.heartbeat * DEAD_AFTER_BEATS,
             forget_after: settings.ticket_life,
         };
         let rules = choose_rules(&settings);
-        let own_book = TicketBook::new(settings.node.clone(), incarnation, settings.ticket_life, now);
+        let own_tickets = TicketTable::new(settings.node.clone(), incarnation, settings.ticket_life, now);
         Self {
             clock,
             incarnation,
@@ -143,14 +145,14 @@
             vms: platform,
             pools: Arc::new(OwnerPools::new(clock, rules, settings.answer_limit.as_usize())),
             links: PeerLinks::default(),
-            own_keys: OutcomeTable::new(settings.ticket_life, MAX_OWN_KEYS),
+            caller_keys: OutcomeTable::new(settings.ticket_life, MAX_CALLER_KEYS),
             urgent: Notify::new(),
             members: Mutex::new(MemberTable::new(own_entry(&settings, addresses, incarnation), times, now)),
             view: ArcSwap::from_pointee(ClusterView::empty()),
-            own_book,
+            own_tickets,
             adopted: Mutex::default(),
-            gate: Mutex::new(AdmissionControl::new(settings.policy == PolicyChoice::Adaptive)),
-            claim_gate: Mutex::default(),
+            admission: Mutex::new(AdmissionControl::new(settings.policy == PolicyChoice::Adaptive)),
+            claim_bucket: Mutex::default(),
             listed_seeds: Mutex::default(),
             owner_replies: Mutex::new((LatencyHistogram::default(), TokenBudget::new(OWNER_HEDGE_RESERVE))),
             phase: watch::Sender::new(StopPhase::Serving),
@@ -165,12 +167,12 @@
         self.members.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The view that a request works with.
+    /// The current cluster view.
     pub fn view(&self) -> Arc<ClusterView> {
         self.view.load_full()
     }
 
-    /// Raises the own heartbeat.
+    /// Raises the own heartbeat counter and updates the own membership entry.
     pub fn beat(&self) {
         let now = self.clock.now();
         let phase = *self.phase.borrow();
@@ -186,111 +188,111 @@
         });
     }
 
-    /// Takes a configuration if it is newer, and then tells others at once.
+    /// Puts a configuration into force if it is newer, and then sends it to other nodes at once.
     pub fn offer(&self, bundle: ConfigBundle) -> OfferResult {
         let result = self.keeper.offer(bundle);
-        if result == OfferResult::Taken {
+        if result == OfferResult::Accepted {
             self.refresh_view();
             self.urgent.notify_one();
         }
         result
     }
 
-    /// Peers' addresses to begin with, from the settings and the platform's VM list.
+    /// Addresses of peers for joining the cluster, from the settings and the platform's VM list.
     pub fn seeds(&self) -> Vec<SocketAddr> {
         let mut seeds = self.settings.seeds.clone();
         seeds.extend(self.listed_seeds.lock().unwrap_or_else(PoisonError::into_inner).iter());
         seeds
     }
 
-    /// Notes the addresses in the platform's VM list.
-    pub fn learn_seeds(&self, seeds: Vec<SocketAddr>) {
+    /// Replaces the addresses from the platform's VM list.
+    pub fn set_listed_seeds(&self, seeds: Vec<SocketAddr>) {
         *self.listed_seeds.lock().unwrap_or_else(PoisonError::into_inner) = seeds;
     }
 
-    /// The admission of callers' requests.
-    pub fn gate(&self) -> MutexGuard<'_, AdmissionControl<AdmissionTag>> {
-        self.gate.lock().unwrap_or_else(PoisonError::into_inner)
+    /// The admission control of callers' requests.
+    pub fn admission(&self) -> MutexGuard<'_, AdmissionControl<AdmissionTag>> {
+        self.admission.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes one token of the claims this node may make a second.
+    /// Takes a token from the bucket that limits this node's claims per second; false if there is none.
     pub fn take_claim_token(&self) -> bool {
         let rate = self.settings.claim_rate;
         if rate <= 0.0 {
             return false;
         }
-        let mut gate = self.claim_gate.lock().unwrap_or_else(PoisonError::into_inner);
-        gate.take(self.clock.now(), rate).is_ok()
+        let mut bucket = self.claim_bucket.lock().unwrap_or_else(PoisonError::into_inner);
+        bucket.take(self.clock.now(), rate).is_ok()
     }
 
     fn owner_replies(&self) -> MutexGuard<'_, (LatencyHistogram, TokenBudget)> {
         self.owner_replies.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes how long another node took for the reply to a piece.
-    pub fn note_owner_reply(&self, took: Duration) {
+    /// Records the latency of another node's reply to a piece.
+    pub fn record_owner_reply(&self, latency: Duration) {
         let mut replies = self.owner_replies();
-        replies.0.add(took);
+        replies.0.add(latency);
         replies.1.earn(OWNER_HEDGE_SHARE);
     }
 
-    /// After how long another node that has not replied is taken to be silent; `None` for
-    /// never: too little is known, or the rules in force make no hedges.
-    pub fn owners_patience(&self) -> Option<Duration> {
+    /// The time after which a node that has not replied counts as unresponsive, so that its pieces are hedged to a second
+    /// owner; `None` if there are too few samples or the policy sends no hedges.
+    pub fn owner_hedge_delay(&self) -> Option<Duration> {
         let replies = self.owner_replies();
-        if replies.0.samples() < OWNER_SAMPLES || self.settings.policy == PolicyChoice::Baseline {
+        if replies.0.samples() < MIN_OWNER_SAMPLES || self.settings.policy == PolicyChoice::Baseline {
             return None;
         }
         let slow = replies.0.quantile(OWNER_QUANTILE)?;
-        Some((slow * OWNER_PATIENCE).max(MIN_PATIENCE))
+        Some((slow * OWNER_HEDGE_FACTOR).max(MIN_OWNER_HEDGE_DELAY))
     }
 
-    /// Takes one piece from the budget of those that may be sent to a second owner.
+    /// Spends the budget for one hedge to a second owner; false if it is used up.
     pub fn spend_owner_hedge(&self) -> bool {
         self.owner_replies().1.spend()
     }
 
-    /// The node's own tickets.
-    pub fn own_book(&self) -> &TicketBook {
-        &self.own_book
+    /// The tickets that this run of the node minted.
+    pub fn own_tickets(&self) -> &TicketTable {
+        &self.own_tickets
     }
 
-    /// Counts work in flight, for the stop to wait for.
-    pub fn count_work(&self) -> WorkCount {
-        WorkCount::new(&self.work)
+    /// Counts work in flight until the guard is dropped. A stop waits for it.
+    pub fn count_work(&self) -> WorkGuard {
+        WorkGuard::new(&self.work)
     }
 
-    /// Counts an order under a ticket, for the hand-over to wait for.
-    pub fn count_order(&self) -> WorkCount {
-        WorkCount::new(&self.orders)
+    /// Counts an order under a ticket until the guard is dropped. The handover of tickets waits for it.
+    pub fn count_order(&self) -> WorkGuard {
+        WorkGuard::new(&self.orders)
     }
 
-    /// Requests and batches in flight.
+    /// The number of requests and batches in flight.
     pub fn work_in_flight(&self) -> usize {
         self.work.load(Ordering::SeqCst)
     }
 
-    /// How far a stop has come.
+    /// The phase of the graceful stop.
     pub fn phase(&self) -> StopPhase {
         *self.phase.borrow()
     }
 
-    /// Whether new work is refused.
+    /// Whether the node refuses new work.
     pub fn is_refusing(&self) -> bool {
         self.phase() >= StopPhase::Refusing
     }
 
-    /// Whether the node is over.
+    /// Whether the node has stopped.
     pub fn is_ended(&self) -> bool {
         self.phase() == StopPhase::Ended
     }
 
-    /// Follows the phases of a stop.
+    /// Subscribes to the phases of the graceful stop.
     pub fn watch_phase(&self) -> watch::Receiver<StopPhase> {
         self.phase.subscribe()
     }
 
-    pub(crate) fn enter(&self, phase: StopPhase) {
+    pub(crate) fn enter_phase(&self, phase: StopPhase) {
         self.phase.send_replace(phase);
         self.beat();
         self.urgent.notify_one();
--- a/crates/daemon/src/node_books.rs
+++ b/crates/daemon/src/node_books.rs
@@ -1,61 +1,61 @@
-//! The books of tickets a node holds: its own, and those of nodes that stopped.
+//! The ticket tables of a node: its own, and those taken over from nodes that stopped.
 
 use std::sync::{Arc, PoisonError};
 
 use streamfold_policy::Moment;
 
 use crate::node::Node;
-use crate::tickets::{OrderTicket, TicketBook};
+use crate::tickets::{OrderTicket, TicketTable};
 use crate::wire::TicketHandover;
 
-/// A book of tickets, the node's own or one taken over.
-pub enum BookRef {
-    /// The own one.
+/// A ticket table, the node's own or one taken over.
+pub enum TableRef {
+    /// The node's own table.
     Own(Arc<Node>),
-    /// One taken over.
-    Adopted(Arc<TicketBook>),
+    /// A table taken over from another node.
+    Adopted(Arc<TicketTable>),
 }
 
-impl std::ops::Deref for BookRef {
-    type Target = TicketBook;
+impl std::ops::Deref for TableRef {
+    type Target = TicketTable;
 
-    fn deref(&self) -> &TicketBook {
+    fn deref(&self) -> &TicketTable {
         match self {
-            Self::Own(node) => &node.own_book,
-            Self::Adopted(book) => book,
+            Self::Own(node) => &node.own_tickets,
+            Self::Adopted(table) => table,
         }
     }
 }
 
 impl Node {
-    pub(crate) fn books(&self) -> Vec<Arc<TicketBook>> {
+    pub(crate) fn adopted_tables(&self) -> Vec<Arc<TicketTable>> {
         self.adopted.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Forgets what tickets that were taken over need no more.
-    pub(crate) fn sweep_books(&self, now: Moment) {
+    /// Removes expired tickets from the tables that were taken over, and tables whose tickets have all expired.
+    pub(crate) fn sweep_adopted(&self, now: Moment) {
         let mut adopted = self.adopted.lock().unwrap_or_else(PoisonError::into_inner);
-        adopted.retain(|book| !book.is_over(now));
-        for book in adopted.iter() {
-            book.sweep(now);
+        adopted.retain(|table| !table.is_over(now));
+        for table in adopted.iter() {
+            table.sweep(now);
         }
     }
 
-    /// Takes over tickets of a stopping node.
-    pub fn adopt(&self, books: Vec<TicketHandover>) {
+    /// Takes over the tickets of a stopping node.
+    pub fn adopt(&self, handovers: Vec<TicketHandover>) {
         let now = self.clock.now();
         let mut adopted = self.adopted.lock().unwrap_or_else(PoisonError::into_inner);
-        for book in books {
-            tracing::info!(event = "tickets_taken_over", from = %book.node, incarnation = %book.incarnation, used = book.used.len());
-            adopted.push(Arc::new(TicketBook::adopt(book, self.settings.ticket_life, now)));
+        for handover in handovers {
+            tracing::info!(event = "tickets_taken_over", from = %handover.node, incarnation = %handover.incarnation, used = handover.used.len());
+            adopted.push(Arc::new(TicketTable::adopt(handover, self.settings.ticket_life, now)));
         }
     }
 
-    /// The book that a ticket belongs to, own or taken over.
-    pub fn find_book(self: &Arc<Self>, ticket: &OrderTicket) -> Option<BookRef> {
-        if self.own_book.is_own(ticket) {
-            return Some(BookRef::Own(self.clone()));
+    /// Finds the table that a ticket belongs to, the own one or one taken over.
+    pub fn find_ticket_table(self: &Arc<Self>, ticket: &OrderTicket) -> Option<TableRef> {
+        if self.own_tickets.is_own(ticket) {
+            return Some(TableRef::Own(self.clone()));
         }
-        self.books().into_iter().find(|book| book.is_own(ticket)).map(BookRef::Adopted)
+        self.adopted_tables().into_iter().find(|table| table.is_own(ticket)).map(TableRef::Adopted)
     }
 }
--- a/crates/daemon/src/node_start.rs
+++ b/crates/daemon/src/node_start.rs
@@ -1,4 +1,4 @@
-//! How a node starts: its ports and its tasks.
+//! Start of a node: opens its ports and starts its tasks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,25 +13,25 @@
 use crate::settings::NodeSettings;
 use crate::{callers, gossip, operators, peers, watch as watcher};
 
-/// How often the view is looked at again without news.
-const VIEW_EVERY: Duration = Duration::from_millis(100);
+/// Time between two updates of the cluster view and removals of expired keys.
+const VIEW_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Where the ports of a running node are.
+/// The addresses of a running node's ports.
 #[derive(Debug, Clone, Copy)]
 pub struct NodeAddresses {
-    /// Callers' port.
+    /// Port for callers.
     pub callers: SocketAddr,
-    /// Operators' port.
+    /// Port for operators.
     pub operators: SocketAddr,
-    /// Peers' port.
+    /// Port for other nodes.
     pub peers: SocketAddr,
 }
 
-/// A node with its ports open and its tasks running.
+/// A started node with its tasks.
 pub struct RunningNode {
-    /// The node.
+    /// The node's shared state.
     pub node: Arc<Node>,
-    /// Its ports.
+    /// The addresses of its ports.
     pub addresses: NodeAddresses,
     pub(crate) tasks: JoinSet<()>,
 }
@@ -67,17 +67,17 @@
     tasks.start("peers", move |node| peers::serve(node, peers_listener.clone()));
     tasks.start("heartbeats", gossip::run);
     tasks.start("configurations", watcher::run);
-    tasks.start("view", keep_view);
+    tasks.start("view", maintain_view);
     Ok(RunningNode { node, addresses, tasks: tasks.into_running() })
 }
 
-async fn keep_view(node: Arc<Node>) {
+async fn maintain_view(node: Arc<Node>) {
     loop {
-        tokio::time::sleep(VIEW_EVERY).await;
+        tokio::time::sleep(VIEW_INTERVAL).await;
         node.refresh_view();
         let now = node.clock.now();
-        node.own_book.sweep(now);
-        node.own_keys.sweep(now);
-        node.sweep_books(now);
+        node.own_tickets.sweep(now);
+        node.caller_keys.sweep(now);
+        node.sweep_adopted(now);
     }
 }
--- a/crates/daemon/src/node_view.rs
+++ b/crates/daemon/src/node_view.rs
@@ -1,4 +1,4 @@
-//! How a node's view of the cluster follows its members and its configuration.
+//! Updates of a node's cluster view after changes of the membership or the configuration.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,29 +12,29 @@
 use crate::view::{ClusterView, VersionTable, WorkTarget};
 
 impl Node {
-    /// Works the view out again if members or configuration changed.
+    /// Rebuilds the view if the members or the configuration changed, and updates the connection pools.
     pub fn refresh_view(&self) {
         let now = self.clock.now();
         let workers = self.find_workers(now);
-        let kept = self.keeper.current();
-        let config = kept.map(|kept| kept.config.clone());
+        let active = self.keeper.current();
+        let config = active.map(|active| active.config.clone());
         let old = self.view.load_full();
         let same_config = match (&config, &old.config) {
             (Some(new), Some(old)) => Arc::ptr_eq(new, old),
             (None, None) => true,
             _ => false,
         };
-        if same_config && is_same_set(&workers, &old.workers) {
-            self.keep_pools(&old);
+        if same_config && has_same_workers(&workers, &old.workers) {
+            self.update_pools(&old);
             return;
         }
-        let beliefs = match (&config, same_config) {
-            (Some(config), false) => Arc::new(carry_beliefs(config, &old)),
-            _ => old.beliefs.clone(),
+        let versions = match (&config, same_config) {
+            (Some(config), false) => Arc::new(carry_versions(config, &old)),
+            _ => old.versions.clone(),
         };
         stats::set_workers(workers.values().map(Vec::len).sum());
-        let view = Arc::new(ClusterView::build(config, workers, beliefs, self.settings.owners));
-        self.keep_pools(&view);
+        let view = Arc::new(ClusterView::build(config, workers, versions, self.settings.owners));
+        self.update_pools(&view);
         self.view.store(view);
     }
 
@@ -42,29 +42,32 @@
         let mut members = self.members();
         members.forget(now);
         let all: HashMap<_, _> = members.entries().map(|entry| (entry.node.clone(), entry.peer_address)).collect();
-        self.links.keep(all, &self.seeds());
+        self.links.update(all, &self.seeds());
         let mut workers: HashMap<FailureDomain, Vec<WorkTarget>> = HashMap::new();
         for entry in members.workers(now) {
             let is_own = entry.node == self.settings.node;
             let suspect = members.health(now, &entry.node) == MemberHealth::Suspect;
-            let link = (!is_own).then(|| self.links.at(entry.peer_address));
+            let link = (!is_own).then(|| self.links.for_address(entry.peer_address));
             let target = WorkTarget { node: entry.node.clone(), link, suspect };
             workers.entry(entry.domain.clone()).or_default().push(target);
         }
         workers
     }
 
-    fn keep_pools(&self, view: &ClusterView) {
+    fn update_pools(&self, view: &ClusterView) {
         let Some(config) = &view.config else { return };
         let owners = view.owners.iter();
         let is_own = |targets: &[WorkTarget]| targets.iter().any(|target| target.link.is_none());
         let owned = config.upstreams.iter().zip(owners).filter(|(_, targets)| is_own(targets));
         let owned: Vec<_> = owned.map(|(spec, _)| spec.clone()).collect();
-        self.pools.keep(&owned, self.settings.owners);
+        self.pools.retain_owned(&owned, self.settings.owners);
     }
 }
 
-fn is_same_set(new: &HashMap<FailureDomain, Vec<WorkTarget>>, old: &HashMap<FailureDomain, Vec<WorkTarget>>) -> bool {
+fn has_same_workers(
+    new: &HashMap<FailureDomain, Vec<WorkTarget>>,
+    old: &HashMap<FailureDomain, Vec<WorkTarget>>,
+) -> bool {
     let same_target = |(a, b): (&WorkTarget, &WorkTarget)| {
         let address = |target: &WorkTarget| target.link.as_ref().map(|link| link.address());
         a.node == b.node && a.suspect == b.suspect && address(a) == address(b)
@@ -75,10 +78,10 @@
     new.len() == old.len() && new.iter().all(|(domain, targets)| same_domain(domain, targets))
 }
 
-fn carry_beliefs(config: &Configuration, old: &ClusterView) -> VersionTable {
+fn carry_versions(config: &Configuration, old: &ClusterView) -> VersionTable {
     let table = VersionTable::new(config);
     if let Some(old_config) = &old.config {
-        table.carry_over(config, &old.beliefs, old_config);
+        table.carry_over(config, &old.versions, old_config);
     }
     table
 }
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' port: health, readiness, metrics, status, configuration and audit.
+//! The HTTP API for operators: health, readiness, metrics, status, configuration and audit trail.
 
 use std::sync::Arc;
 
@@ -22,15 +22,15 @@
 use crate::stop::StopPhase;
 use crate::upstream::LinkState;
 
-/// Connections of operators at most.
+/// Maximum number of operators' connections.
 const MAX_CONNECTIONS: usize = 100;
-/// The largest configuration taken, in bytes.
-const MAX_CONFIG: usize = 64 << 20;
-/// Audit records told at once, at most.
-const MAX_AUDIT: u64 = 200;
-const DEFAULT_AUDIT: u64 = 20;
+/// Maximum size of an uploaded configuration, in bytes.
+const MAX_CONFIG_BYTES: usize = 64 << 20;
+/// Maximum number of audit records in one answer.
+const MAX_AUDIT_RECORDS: u64 = 200;
+const DEFAULT_AUDIT_RECORDS: u64 = 20;
 
-/// Serves the operators' port until the node ends.
+/// Serves the operators' port until the node stops.
 pub async fn serve(node: Arc<Node>, listener: Arc<TcpListener>) {
     let router = Router::new()
         .route("/healthz", get(|| async { "alive\n" }))
@@ -39,7 +39,7 @@
         .route("/v1/status", get(status))
         .route("/v1/config", get(read_config).post(apply))
         .route("/v1/audit", get(audit))
-        .layer(DefaultBodyLimit::max(MAX_CONFIG))
+        .layer(DefaultBodyLimit::max(MAX_CONFIG_BYTES))
         .with_state(node.clone());
     http_server::serve(node, listener, router, MAX_CONNECTIONS).await;
 }
@@ -73,15 +73,15 @@
         config_version: node.keeper.version(),
         config_age_ms: node.keeper.age_ms(),
         in_flight: node.work_in_flight(),
-        members: tell_members(&node),
-        servers: tell_servers(&node),
+        members: list_members(&node),
+        servers: list_servers(&node),
     })
 }
 
-fn tell_members(node: &Node) -> Vec<MemberStatus> {
+fn list_members(node: &Node) -> Vec<MemberStatus> {
     let now = node.clock.now();
     let members = node.members();
-    let told = members.entries().map(|entry| MemberStatus {
+    let statuses = members.entries().map(|entry| MemberStatus {
         node: entry.node.clone(),
         incarnation: entry.incarnation,
         domain: entry.domain.clone(),
@@ -90,12 +90,12 @@
         health: members.health(now, &entry.node),
         config: entry.config,
     });
-    told.collect()
+    statuses.collect()
 }
 
-fn tell_servers(node: &Node) -> Vec<ServerStatus> {
+fn list_servers(node: &Node) -> Vec<ServerStatus> {
     let pools = node.pools.all();
-    let told = pools.iter().flat_map(|pool| {
+    let statuses = pools.iter().flat_map(|pool| {
         pool.servers().into_iter().map(|(link, state)| ServerStatus {
             upstream: pool.spec.name.clone(),
             server: link.address(),
@@ -106,7 +106,7 @@
             connections: link.open_connections(),
         })
     });
-    told.collect()
+    statuses.collect()
 }
 
 fn problem(kind: &str, status: StatusCode, detail: String, ran: ExecutionState, problems: Vec<String>) -> Response {
@@ -169,7 +169,7 @@
         Ok(head) => {
             let version = head.version;
             tracing::info!(event = "config_committed", version = %version, change = %head.change, operator = head.operator);
-            // A change retried under its id may have been followed by others, which are then newer.
+            // The commit may be a retry of a change that newer ones have followed; the offer then changes nothing.
             node.offer(ConfigBundle { head, files });
             Json(ApplyAnswer { version, committed: true }).into_response()
         }
@@ -196,11 +196,11 @@
 
 async fn read_config(State(node): State<Arc<Node>>, RawQuery(parameters): RawQuery) -> Response {
     let wanted = find_number(parameters.as_deref(), "version").map(ConfigVersion);
-    let kept = node.keeper.current();
-    if let Some(kept) = &kept
-        && wanted.is_none_or(|wanted| wanted == kept.bundle.head.version)
+    let active = node.keeper.current();
+    if let Some(active) = &active
+        && wanted.is_none_or(|wanted| wanted == active.bundle.head.version)
     {
-        return Json(&kept.bundle).into_response();
+        return Json(&active.bundle).into_response();
     }
     let Some(wanted) = wanted else {
         let detail = "there is no configuration yet".to_owned();
@@ -216,9 +216,9 @@
     }
 }
 
-/// The newest audit records, newest first.
+/// The most recent audit records, newest first.
 async fn audit(State(node): State<Arc<Node>>, RawQuery(parameters): RawQuery) -> Response {
-    let most = find_number(parameters.as_deref(), "limit").unwrap_or(DEFAULT_AUDIT).min(MAX_AUDIT);
+    let limit = find_number(parameters.as_deref(), "limit").unwrap_or(DEFAULT_AUDIT_RECORDS).min(MAX_AUDIT_RECORDS);
     let mut records: Vec<HeadRecord> = Vec::new();
     let newest = match node.store.read_head().await {
         Ok(head) => head.map_or(ConfigVersion(0), |(head, _)| head.version),
@@ -234,7 +234,7 @@
         }
     };
     let mut version = newest;
-    while version > ConfigVersion(0) && (records.len() as u64) < most {
+    while version > ConfigVersion(0) && (records.len() as u64) < limit {
         match node.store.read_audit(version).await {
             Ok(record) => records.push(record),
             Err(error) => {
--- a/crates/daemon/src/outcomes.rs
+++ b/crates/daemon/src/outcomes.rs
@@ -1,5 +1,5 @@
-//! Remembers what became of requests that must not run twice, by key, in this node's own
-//! memory. A key is begun once; whoever presents it again is told the same outcome.
+//! In-memory table of the outcomes of requests that must not run twice, by idempotency key. A key is used once; a
+//! request that repeats it gets the outcome of that use.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -11,115 +11,115 @@
 
 use crate::wire::{OrderFailure, OrderReply};
 
-/// The outcome of a key, once it is known.
+/// Receives the outcome of a key's first use.
 pub type OutcomeReceiver = watch::Receiver<Option<OrderReply>>;
 
-/// What to do with a presented key.
+/// How a request proceeds with its key.
 pub enum KeyUse {
-    /// First use: run it and give the outcome to the guard.
+    /// First use: run the request and pass the outcome to the guard.
     Run(OutcomeGuard),
-    /// Used before: wait for the outcome of that use.
+    /// Repeated use: wait for the outcome of the first one.
     Wait(OutcomeReceiver),
-    /// The table is full of keys that may not be forgotten yet.
+    /// The table is full of keys that have not expired yet.
     Full,
 }
 
-/// Tells the outcome to everybody who waits. Dropped without one, the outcome is unknown.
+/// Publishes the outcome to all waiting requests. If it is dropped before, the outcome is unknown.
 pub struct OutcomeGuard {
     sender: watch::Sender<Option<OrderReply>>,
 }
 
 impl OutcomeGuard {
-    /// Tells the outcome.
+    /// Publishes the outcome.
     pub fn finish(self, reply: OrderReply) {
         self.sender.send_replace(Some(reply));
     }
 }
 
 struct OutcomeRow {
-    begun: Moment,
+    started: Moment,
     outcome: OutcomeReceiver,
 }
 
-/// Outcomes by key, for a time.
+/// Outcomes by key, which expire after a time.
 pub struct OutcomeTable<K> {
     rows: Mutex<HashMap<K, OutcomeRow>>,
-    life: Duration,
-    most: usize,
+    lifetime: Duration,
+    capacity: usize,
 }
 
 impl<K: Eq + Hash + Clone> OutcomeTable<K> {
-    /// An empty table that remembers each key for `life`, and at most `most` of them.
-    pub fn new(life: Duration, most: usize) -> Self {
-        Self { rows: Mutex::default(), life, most }
+    /// Creates an empty table that keeps each key for `lifetime`, and at most `capacity` keys.
+    pub fn new(lifetime: Duration, capacity: usize) -> Self {
+        Self { rows: Mutex::default(), lifetime, capacity }
     }
 
     fn rows(&self) -> MutexGuard<'_, HashMap<K, OutcomeRow>> {
         self.rows.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The outcome of a key that was begun, to wait for.
+    /// The receiver of a used key's outcome.
     pub fn find(&self, key: &K) -> Option<OutcomeReceiver> {
         self.rows().get(key).map(|row| row.outcome.clone())
     }
 
-    /// Begins a key, unless it was begun before.
+    /// Marks a key as used, or returns the outcome of its earlier use.
     pub fn begin(&self, now: Moment, key: K) -> KeyUse {
         let mut rows = self.rows();
         if let Some(row) = rows.get(&key) {
             return KeyUse::Wait(row.outcome.clone());
         }
-        if rows.len() >= self.most {
+        if rows.len() >= self.capacity {
             return KeyUse::Full;
         }
         let (sender, outcome) = watch::channel(None);
-        rows.insert(key, OutcomeRow { begun: now, outcome });
+        rows.insert(key, OutcomeRow { started: now, outcome });
         KeyUse::Run(OutcomeGuard { sender })
     }
 
-    /// Notes an outcome told by another node.
+    /// Inserts an outcome that another node handed over.
     pub fn adopt(&self, now: Moment, key: K, reply: OrderReply) {
         let (_, outcome) = watch::channel(Some(reply));
-        self.rows().insert(key, OutcomeRow { begun: now, outcome });
+        self.rows().insert(key, OutcomeRow { started: now, outcome });
     }
 
-    /// Forgets a key whose request did not run, so that it may be presented again.
+    /// Removes a key whose request did not run, so that it can be used again.
     pub fn release(&self, key: &K) {
         self.rows().remove(key);
     }
 
-    /// Forgets keys begun too long ago.
+    /// Removes expired keys.
     pub fn sweep(&self, now: Moment) {
-        let life = self.life;
-        self.rows().retain(|_, row| now.since(row.begun) < life);
+        let lifetime = self.lifetime;
+        self.rows().retain(|_, row| now.since(row.started) < lifetime);
     }
 
-    /// Every key with its outcome; one still running is told as unknown.
+    /// Every key with its outcome; a request that is still running has an unknown one.
     pub fn export(&self) -> Vec<(K, OrderReply)> {
         let unknown = OrderReply::Failed(OrderFailure::OutcomeUnknown);
         let rows = self.rows();
-        let told = rows.iter().map(|(key, row)| {
+        let outcomes = rows.iter().map(|(key, row)| {
             let outcome = row.outcome.borrow().clone();
             (key.clone(), outcome.unwrap_or_else(|| unknown.clone()))
         });
-        told.collect()
+        outcomes.collect()
     }
 
-    /// Keys remembered.
+    /// The number of keys.
     pub fn len(&self) -> usize {
         self.rows().len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// Waits for the outcome of another use of the same key.
-pub async fn wait_outcome(mut outcome: OutcomeReceiver, wait: Duration) -> OrderReply {
-    let told = tokio::time::timeout(wait, outcome.wait_for(Option::is_some)).await;
-    let reply = match &told {
+/// Waits for the outcome of the first use of a key; it is unknown after the timeout.
+pub async fn wait_outcome(mut outcome: OutcomeReceiver, timeout: Duration) -> OrderReply {
+    let result = tokio::time::timeout(timeout, outcome.wait_for(Option::is_some)).await;
+    let reply = match &result {
         Ok(Ok(reply)) => (**reply).clone(),
         _ => None,
     };
--- a/crates/daemon/src/owner.rs
+++ b/crates/daemon/src/owner.rs
@@ -1,4 +1,4 @@
-//! The pools of the upstreams this node owns, and the pieces of batches run in them.
+//! The connection pools of the upstreams that this node owns, and the execution of batches of pieces in them.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -21,12 +21,12 @@
 use crate::pool::UpstreamPool;
 use crate::wire::{BatchRequest, PieceReply, PieceRequest};
 
-/// A pool of an upstream this node does not own is closed after this long without use.
-const IDLE_CLOSE: Duration = Duration::from_secs(10);
+/// Idle time after which the pool of an upstream that this node does not own is closed.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct PoolRow {
     pool: Arc<UpstreamPool>,
-    used: Moment,
+    last_used: Moment,
 }
 
 /// All pools of this node.
@@ -38,7 +38,7 @@
 }
 
 impl OwnerPools {
-    /// No pools yet.
+    /// Creates an empty set of pools.
     pub fn new(clock: NodeClock, rules: Arc<dyn AttemptRules>, answer_limit: usize) -> Self {
         Self { clock, rules, answer_limit, rows: Mutex::default() }
     }
@@ -47,41 +47,41 @@
         self.rows.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The pool of an upstream, opened if there is none for this spec yet.
+    /// The pool of an upstream; opened if there is none for this configuration of the upstream.
     pub fn get(&self, spec: &Arc<UpstreamSpec>, owners: usize) -> Arc<UpstreamPool> {
         let now = self.clock.now();
         let mut rows = self.rows();
         if let Some(row) = rows.get_mut(&spec.name)
             && *row.pool.spec == **spec
         {
-            row.used = now;
+            row.last_used = now;
             return row.pool.clone();
         }
         let share = connection_share(spec.connections, owners);
         let pool = UpstreamPool::open(spec.clone(), share, self.rules.clone(), self.clock);
-        rows.insert(spec.name.clone(), PoolRow { pool: pool.clone(), used: now });
+        rows.insert(spec.name.clone(), PoolRow { pool: pool.clone(), last_used: now });
         pool
     }
 
-    /// Opens the pools of owned upstreams and closes those neither owned nor used lately.
-    pub fn keep(&self, owned: &[Arc<UpstreamSpec>], owners: usize) {
+    /// Opens the pools of owned upstreams and closes those that are neither owned nor recently used.
+    pub fn retain_owned(&self, owned: &[Arc<UpstreamSpec>], owners: usize) {
         for spec in owned {
             self.get(spec, owners);
         }
         let now = self.clock.now();
         self.rows().retain(|name, row| {
             let is_owned = owned.iter().any(|spec| spec.name == *name);
-            is_owned || now.since(row.used) < IDLE_CLOSE
+            is_owned || now.since(row.last_used) < POOL_IDLE_TIMEOUT
         });
     }
 
-    /// All pools, for status.
+    /// All pools, for status reports.
     pub fn all(&self) -> Vec<Arc<UpstreamPool>> {
         self.rows().values().map(|row| row.pool.clone()).collect()
     }
 
-    /// Runs the pieces of a batch in one task; each reply goes out as soon as it is there.
-    /// Dropping this ends what still runs.
+    /// Runs the pieces of a batch concurrently and sends each reply as soon as the piece ends. At the deadline the remaining
+    /// pieces are reported as late. Dropping the future cancels the running pieces.
     pub async fn run_batch(
         &self,
         config: &Configuration,
@@ -89,38 +89,38 @@
         batch: BatchRequest,
         replies: mpsc::Sender<PieceReply>,
     ) {
-        let left = Duration::from_micros(batch.remaining_us);
-        let Some((context, pieces)) = self.make_context(batch, left) else { return };
-        let done: Vec<PieceWork> = pieces.into_iter().map(|piece| self.prepare(config, owners, piece)).collect();
-        let mut running: FuturesUnordered<_> = done.iter().map(|work| run_piece(&context, work)).collect();
+        let remaining = Duration::from_micros(batch.remaining_us);
+        let Some((context, pieces)) = self.make_context(batch, remaining) else { return };
+        let prepared: Vec<PieceWork> = pieces.into_iter().map(|piece| self.prepare(config, owners, piece)).collect();
+        let mut running: FuturesUnordered<_> = prepared.iter().map(|work| run_piece(&context, work)).collect();
         let all = async {
             while let Some(reply) = running.next().await {
-                // A send that fails means that nobody waits for the batch any more.
+                // The send fails if the receiver of the batch is gone; the reply is then not needed.
                 let _ = replies.send(reply).await;
             }
         };
-        let is_late = tokio::time::timeout(left, all).await.is_err();
+        let is_late = tokio::time::timeout(remaining, all).await.is_err();
         drop(running);
         if is_late {
-            for work in done.iter().filter(|work| !work.is_told.load(Ordering::Relaxed)) {
-                let _ = replies.send(late(&context, work)).await;
+            for work in prepared.iter().filter(|work| !work.is_reported.load(Ordering::Relaxed)) {
+                let _ = replies.send(late_reply(&context, work)).await;
             }
         }
     }
 
-    fn make_context(&self, batch: BatchRequest, left: Duration) -> Option<(PieceContext, Vec<PieceRequest>)> {
+    fn make_context(&self, batch: BatchRequest, remaining: Duration) -> Option<(PieceContext, Vec<PieceRequest>)> {
         let verb = if batch.repeatable { "query" } else { "order" };
-        // A checked name always makes a path.
+        // The index name is validated, so the path is always valid.
         let path = PathAndQuery::try_from(format!("/v1/shards/{}/{verb}", batch.index)).ok()?;
         let context = PieceContext {
-            request_value: headers::single_use(&batch.request),
+            request_value: headers::unindexed_value(&batch.request),
             path,
             index: batch.index,
             version: batch.version,
             repeatable: batch.repeatable,
             key: batch.key,
             body: Bytes::from(batch.body),
-            deadline: self.clock.now().plus(left),
+            deadline: self.clock.now().plus(remaining),
             answer_limit: self.answer_limit,
         };
         Some((context, batch.pieces))
@@ -128,7 +128,7 @@
 
     fn prepare(&self, config: &Configuration, owners: usize, piece: PieceRequest) -> PieceWork {
         let pool = config.find_upstream(&piece.upstream).map(|spec| self.get(spec, owners));
-        PieceWork { piece, pool, progress: PieceProgress::default(), is_told: AtomicBool::new(false) }
+        PieceWork { piece, pool, progress: PieceProgress::default(), is_reported: AtomicBool::new(false) }
     }
 }
 
@@ -137,7 +137,7 @@
     piece: PieceRequest,
     pool: Option<Arc<UpstreamPool>>,
     progress: PieceProgress,
-    is_told: AtomicBool,
+    is_reported: AtomicBool,
 }
 
 async fn run_piece(context: &PieceContext, work: &PieceWork) -> PieceReply {
@@ -149,16 +149,16 @@
         }
         Some(pool) => pool.run(context, &work.piece.shards, &work.progress).await,
     };
-    work.is_told.store(true, Ordering::Relaxed);
-    tell(context, work, result)
+    work.is_reported.store(true, Ordering::Relaxed);
+    build_reply(context, work, result)
 }
 
-fn late(context: &PieceContext, work: &PieceWork) -> PieceReply {
+fn late_reply(context: &PieceContext, work: &PieceWork) -> PieceReply {
     let outcome = work.progress.outcome();
-    tell(context, work, Err(PieceFailure { reason: MissingReason::Late, outcome }))
+    build_reply(context, work, Err(PieceFailure { reason: MissingReason::Late, outcome }))
 }
 
-fn tell(context: &PieceContext, work: &PieceWork, result: Result<PieceAnswer, PieceFailure>) -> PieceReply {
+fn build_reply(context: &PieceContext, work: &PieceWork, result: Result<PieceAnswer, PieceFailure>) -> PieceReply {
     let (outcome, version, result) = match result {
         Ok(answer) => (AttemptOutcome::Answered, Some(answer.version), Ok(answer.shards)),
         Err(failure) => (failure.outcome, None, Err(failure.reason)),
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -1,4 +1,4 @@
-//! What this node does with the messages of others.
+//! Handlers of the messages from other nodes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,23 +17,23 @@
 
 use crate::gossip;
 use crate::node::Node;
-use crate::order::{OrderAsk, run_held};
+use crate::order::{OrderJob, run_local_ticket};
 use crate::stats;
 use crate::wire::{
-    AdoptRequest, BatchRequest, ConfigReply, GossipMessage, OrderFailure, OrderReply, OrderRequest, PATH_ADOPT,
-    PATH_BATCH, PATH_CONFIG, PATH_GOSSIP, PATH_ORDER, TakenReply,
+    AdoptReply, AdoptRequest, BatchRequest, ConfigReply, GossipMessage, OrderFailure, OrderReply, OrderRequest,
+    PATH_ADOPT, PATH_BATCH, PATH_CONFIG, PATH_GOSSIP, PATH_ORDER,
 };
 
-/// Largest messages taken, by kind.
+/// Maximum message sizes in bytes, by kind.
 const GOSSIP_LIMIT: usize = 256 << 10;
 const BATCH_LIMIT: usize = 24 << 20;
 const ORDER_LIMIT: usize = 24 << 20;
 const CONFIG_LIMIT: usize = 1 << 10;
 const ADOPT_LIMIT: usize = 64 << 20;
-/// Replies that may wait to be written.
+/// Capacity of the channel of replies that are not written yet.
 const REPLY_BUFFER: usize = 64;
 
-/// A node as others see it.
+/// The service that a node offers to other nodes.
 struct NodeService(Arc<Node>);
 
 impl PeerService for NodeService {
@@ -59,12 +59,12 @@
     }
 }
 
-/// Serves the peers' port until the node ends.
+/// Serves the peers' port until the task is aborted.
 pub async fn serve(node: Arc<Node>, listener: Arc<TcpListener>) {
     serve_peers(Arc::new(NodeService(node)), listener).await;
 }
 
-/// Runs a batch and streams its replies; a reset by the entry node ends what still runs.
+/// Runs a batch and streams its replies. A stream reset by the entry node cancels the running pieces.
 async fn serve_batch(node: &Arc<Node>, body: RecvStream, respond: &mut SendResponse<Bytes>) -> Result<(), PeerError> {
     let batch: BatchRequest = read_message(body, BATCH_LIMIT).await?;
     let _work = node.count_work();
@@ -96,7 +96,7 @@
     let answer = match order.ticket.parse() {
         Ok(ticket) => {
             let deadline = node.clock.now().plus(Duration::from_micros(order.remaining_us));
-            let ask = OrderAsk {
+            let job = OrderJob {
                 request: order.request,
                 caller: order.caller,
                 index: order.index,
@@ -105,7 +105,7 @@
                 body: order.body,
                 deadline,
             };
-            run_held(node, ask, &ticket).await
+            run_local_ticket(node, job, &ticket).await
         }
         Err(_) => OrderReply::Failed(OrderFailure::BadTicket),
     };
@@ -120,8 +120,8 @@
 
 async fn serve_config(node: &Arc<Node>, body: RecvStream, respond: &mut SendResponse<Bytes>) -> Result<(), PeerError> {
     let known: ConfigVersion = read_message(body, CONFIG_LIMIT).await?;
-    let kept = node.keeper.current().filter(|kept| kept.bundle.head.version > known);
-    reply(respond, &ConfigReply { bundle: kept.map(|kept| kept.bundle.clone()) }).await
+    let active = node.keeper.current().filter(|active| active.bundle.head.version > known);
+    reply(respond, &ConfigReply { bundle: active.map(|active| active.bundle.clone()) }).await
 }
 
 async fn serve_adopt(node: &Arc<Node>, body: RecvStream, respond: &mut SendResponse<Bytes>) -> Result<(), PeerError> {
@@ -129,6 +129,6 @@
     if node.is_refusing() {
         return refuse(respond);
     }
-    node.adopt(request.books);
-    reply(respond, &TakenReply).await
+    node.adopt(request.handovers);
+    reply(respond, &AdoptReply).await
 }
--- a/crates/daemon/src/piece.rs
+++ b/crates/daemon/src/piece.rs
@@ -1,4 +1,4 @@
-//! A piece of work at an owner: what it needs, how far it has come, what it gave.
+//! A piece: the shards of a request that one upstream serves, as its owner executes them. Input, progress and answer.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -15,30 +15,30 @@
 use crate::headers;
 use crate::stats;
 
-/// What every piece of one batch shares.
+/// The input that all pieces of a batch share.
 #[derive(Debug, Clone)]
 pub struct PieceContext {
-    /// The request's id as it goes out.
+    /// The request's id as a header value.
     pub request_value: HeaderValue,
-    /// The path at the servers.
+    /// The URL path at the servers.
     pub path: PathAndQuery,
-    /// The index.
+    /// Name of the index.
     pub index: IndexName,
-    /// The pinned version; orders have none.
+    /// The pinned index version; orders have none.
     pub version: Option<IndexVersion>,
     /// Whether an attempt with an unknown outcome may be repeated.
     pub repeatable: bool,
-    /// The key of a request that is not repeatable.
+    /// The idempotency key of a non-repeatable request.
     pub key: Option<String>,
-    /// The caller's body.
+    /// The body of the caller's request.
     pub body: Bytes,
-    /// The deadline by this node's clock.
+    /// The deadline on this node's clock.
     pub deadline: Moment,
-    /// The largest answer taken.
+    /// Maximum size of a server's answer, in bytes.
     pub answer_limit: usize,
 }
 
-/// How far a piece of work has come, readable after it was cut short.
+/// The progress of a piece, which can be read after the piece was cancelled.
 #[derive(Debug)]
 pub struct PieceProgress(Mutex<ProgressCounts>);
 
@@ -62,22 +62,22 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Calls made.
+    /// The number of calls to servers.
     pub fn calls(&self) -> u32 {
         self.lock().calls
     }
 
-    /// What may be said of the work if nothing more comes of it.
+    /// The outcome to report if the piece is cancelled now.
     pub fn outcome(&self) -> AttemptOutcome {
         self.lock().outcome
     }
 
-    /// Microseconds it waited for slots.
+    /// Microseconds that it waited for slots at servers.
     pub fn waited_us(&self) -> u64 {
         self.lock().waited.as_micros() as u64
     }
 
-    /// Microseconds it was served.
+    /// Microseconds that its calls to servers took.
     pub fn served_us(&self) -> u64 {
         self.lock().served.as_micros() as u64
     }
@@ -86,41 +86,41 @@
         self.lock().calls += 1;
     }
 
-    pub(crate) fn replace(&self, outcome: AttemptOutcome) -> AttemptOutcome {
+    pub(crate) fn replace_outcome(&self, outcome: AttemptOutcome) -> AttemptOutcome {
         std::mem::replace(&mut self.lock().outcome, outcome)
     }
 
-    /// Adds the outcome of one more attempt.
-    pub(crate) fn note(&self, outcome: AttemptOutcome) {
+    /// Combines the outcome with that of another attempt.
+    pub(crate) fn add_outcome(&self, outcome: AttemptOutcome) {
         let mut progress = self.lock();
         progress.outcome = progress.outcome.combine(outcome);
     }
 }
 
-/// Results of one server.
+/// The answer of one server.
 #[derive(Debug)]
 pub struct PieceAnswer {
-    /// The version they come from.
+    /// The index version that the results come from.
     pub version: IndexVersion,
     /// Results by shard.
     pub shards: Vec<(ShardId, Vec<u8>)>,
 }
 
-/// A header's value, if it is there and well formed.
+/// The parsed value of a header; `None` if it is missing or malformed.
 pub fn read_header<T: FromStr>(fields: &HeaderMap, name: HeaderName) -> Option<T> {
     fields.get(name)?.to_str().ok()?.parse().ok()
 }
 
-/// The versions a server says it holds.
-pub fn read_held(fields: &HeaderMap) -> Option<HeldVersions> {
+/// The range of index versions that a server reports in its answer.
+pub fn read_held_versions(fields: &HeaderMap) -> Option<HeldVersions> {
     let text = fields.get(headers::HELD)?.to_str().ok()?;
     let (oldest, newest) = text.split_once('-')?;
     let held = HeldVersions { oldest: oldest.parse().ok()?, newest: newest.parse().ok()? };
     (held.oldest <= held.newest).then_some(held)
 }
 
-/// Reads an answer's results; `None` if it is of another version than the pinned one, is
-/// malformed or holds shards that were not asked for.
+/// Parses an answer; `None` if it is of another version than the pinned one, is malformed, or has shards that were not
+/// requested.
 pub fn read_answer(context: &PieceContext, shards: &[ShardId], fields: &HeaderMap, body: &[u8]) -> Option<PieceAnswer> {
     let version: IndexVersion = read_header(fields, headers::VERSION)?;
     if context.version.is_some_and(|pinned| pinned != version) {
--- a/crates/daemon/src/pool.rs
+++ b/crates/daemon/src/pool.rs
@@ -18,12 +18,12 @@
 use crate::clock::NodeClock;
 use crate::error::PieceFailure;
 use crate::headers;
-use crate::piece::{PieceAnswer, PieceContext, PieceProgress, read_answer, read_header, read_held};
+use crate::piece::{PieceAnswer, PieceContext, PieceProgress, read_answer, read_header, read_held_versions};
 use crate::stats;
 use crate::upstream::{HealthReport, ServerLink};
 
 /// Time between health checks of a server.
-const HEALTH_EVERY: Duration = Duration::from_secs(1);
+const HEALTH_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a health check may take.
 const HEALTH_TIMEOUT: Duration = Duration::from_secs(1);
 /// Limit on a health answer, in bytes.
@@ -64,7 +64,7 @@
         let waited = now.since(self.started);
         let report = self.report.unwrap_or(CallReport::Cancelled(waited));
         let started = self.pool.lock().finish(now, self.server, report, &mut rand::rng());
-        self.pool.hand_out(now, started);
+        self.pool.grant_permits(now, started);
     }
 }
 
@@ -92,7 +92,7 @@
                 while let Some(pool) = pool.upgrade() {
                     pool.check_health(server).await;
                     drop(pool);
-                    tokio::time::sleep(HEALTH_EVERY.mul_f64(rand::random_range(0.8..1.2))).await;
+                    tokio::time::sleep(HEALTH_INTERVAL.mul_f64(rand::random_range(0.8..1.2))).await;
                 }
             }));
         }
@@ -144,7 +144,7 @@
     }
 
     /// Hands started work its permits; one that nobody waits for any more frees its slot at once.
-    fn hand_out(
+    fn grant_permits(
         self: &Arc<Self>,
         now: Moment,
         started: Vec<streamfold_policy::StartedWork<oneshot::Sender<SlotPermit>>>,
@@ -224,8 +224,8 @@
         *request.uri_mut() = self.links[server].uri(context.path.clone());
         let fields = request.headers_mut();
         fields.insert(headers::REQUEST, context.request_value.clone());
-        fields.insert(headers::ATTEMPT, headers::single_use(&attempt));
-        fields.insert(headers::DEADLINE, headers::single_use(&left.as_micros()));
+        fields.insert(headers::ATTEMPT, headers::unindexed_value(&attempt));
+        fields.insert(headers::DEADLINE, headers::unindexed_value(&left.as_micros()));
         if let Ok(shards) = HeaderValue::from_str(shards) {
             fields.insert(headers::SHARDS, shards);
         }
@@ -233,7 +233,7 @@
             fields.insert(headers::VERSION, HeaderValue::from(version.0));
         }
         if let Some(key) = &context.key {
-            fields.insert(headers::KEY, headers::single_use(key));
+            fields.insert(headers::KEY, headers::unindexed_value(key));
         }
         request
     }
@@ -284,7 +284,7 @@
         if fields.get(headers::DRAINING).is_some_and(|draining| draining.as_bytes() == b"true") {
             state.mark_leaving();
         }
-        if let Some(held) = read_held(fields) {
+        if let Some(held) = read_held_versions(fields) {
             state.record_versions(index, held);
         }
     }
@@ -334,13 +334,13 @@
             self.progress.lock().waited += bound.since(asked);
             let outcome = self.progress.outcome();
             let permit = acquired.map_err(|reason| PieceFailure { reason, outcome })?;
-            let result = self.run_round(permit).await;
+            let result = self.attempt_with_hedge(permit).await;
             self.progress.lock().served += self.pool.clock.now().since(bound);
             let failed = match result {
                 Ok(answer) => return Ok(answer),
                 Err(failed) => failed,
             };
-            self.progress.note(failed.failure.outcome);
+            self.progress.add_outcome(failed.failure.outcome);
             if !self.may_retry(&failed) {
                 let outcome = self.progress.outcome();
                 return Err(PieceFailure { reason: failed.failure.reason, outcome });
@@ -361,11 +361,11 @@
     }
 
     /// One attempt, and a hedge if it is slow and the request may be repeated.
-    async fn run_round(&self, permit: SlotPermit) -> Result<PieceAnswer, CallFailure> {
+    async fn attempt_with_hedge(&self, permit: SlotPermit) -> Result<PieceAnswer, CallFailure> {
         let first_server = permit.server;
         self.progress.count_call();
         if !self.context.repeatable {
-            return self.run_once(permit).await;
+            return self.attempt_once(permit).await;
         }
         let mut first = std::pin::pin!(self.pool.call(permit, self.context, self.shards));
         let Some(delay) = self.pool.lock().hedge_delay() else { return first.await };
@@ -390,10 +390,10 @@
 
     /// The one attempt of a request that is not repeatable. Cut short while it runs, its
     /// outcome is unknown.
-    async fn run_once(&self, permit: SlotPermit) -> Result<PieceAnswer, CallFailure> {
-        let before = self.progress.replace(AttemptOutcome::Unknown);
+    async fn attempt_once(&self, permit: SlotPermit) -> Result<PieceAnswer, CallFailure> {
+        let before = self.progress.replace_outcome(AttemptOutcome::Unknown);
         let result = self.pool.call(permit, self.context, self.shards).await;
-        self.progress.replace(before);
+        self.progress.replace_outcome(before);
         result
     }
 
--- a/crates/daemon/src/query.rs
+++ b/crates/daemon/src/query.rs
@@ -10,19 +10,19 @@
 use streamfold_policy::pin::choose_version;
 use streamfold_policy::{FinishRule, Moment, WorkReport};
 
-use crate::fold::AnswerFold;
+use crate::merger::AnswerMerger;
 use crate::node::Node;
-use crate::round::{QueryRound, RoundEnd};
+use crate::round::{QueryRound, RoundOutcome};
 use crate::stats;
 use crate::view::ClusterView;
 
 /// How often a query may start again at a newer index version.
 const MAX_ROUNDS: u32 = 6;
 /// Pause before versions are asked for again when no server told any.
-const UNPINNED_PAUSE: Duration = Duration::from_millis(20);
+const UNPINNED_DELAY: Duration = Duration::from_millis(20);
 
 /// A query that was let in.
-pub struct QueryAsk {
+pub struct QueryJob {
     /// Its id.
     pub request: RequestId,
     /// The index.
@@ -55,13 +55,13 @@
 pub async fn run(
     node: &Arc<Node>,
     view: &Arc<ClusterView>,
-    ask: &QueryAsk,
+    ask: &QueryJob,
     work: &mut WorkReport,
 ) -> Result<QueryAnswer, QueryFailure> {
     let config = view.config.as_ref().ok_or(QueryFailure::NoVersion)?;
     for round in 1..=MAX_ROUNDS {
         let Some((version, layout)) = pin(view, ask) else {
-            learn_versions(node, view, ask, ask.index.newest_layout()).await?;
+            query_versions(node, view, ask, ask.index.newest_layout()).await?;
             continue;
         };
         let may_restart = round < MAX_ROUNDS;
@@ -70,14 +70,20 @@
         work.waited += query.work.waited;
         work.served += query.work.served;
         match end {
-            RoundEnd::Answer(fold) => return Ok(answer(node, config, ask, version, fold)),
-            RoundEnd::Restart => stats::count_restart(),
+            RoundOutcome::Answer(fold) => return Ok(answer(node, config, ask, version, fold)),
+            RoundOutcome::Restart => stats::count_restart(),
         }
     }
     Err(QueryFailure::NoVersion)
 }
 
-fn answer(node: &Node, config: &Configuration, ask: &QueryAsk, version: IndexVersion, fold: AnswerFold) -> QueryAnswer {
+fn answer(
+    node: &Node,
+    config: &Configuration,
+    ask: &QueryJob,
+    version: IndexVersion,
+    fold: AnswerMerger,
+) -> QueryAnswer {
     let (coverage, results) = fold.finish();
     stats::count_shards(coverage.shards, coverage.answered);
     QueryAnswer {
@@ -92,14 +98,14 @@
 
 /// The version to run at and its layout: the newest layout whose upstreams are believed to
 /// have reached it.
-pub fn pin<'a>(view: &ClusterView, ask: &'a QueryAsk) -> Option<(IndexVersion, &'a ShardLayout)> {
+pub fn pin<'a>(view: &ClusterView, ask: &'a QueryJob) -> Option<(IndexVersion, &'a ShardLayout)> {
     let mut cap = IndexVersion(u64::MAX);
     for layout in ask.index.layouts.iter().rev() {
         let holders = wanted_shards(ask, layout).filter_map(|shard| layout.shards.get(shard.0 as usize));
         let mut upstreams: Vec<UpstreamIndex> = holders.flat_map(|holders| holders.iter().copied()).collect();
         upstreams.dedup();
-        let beliefs = upstreams.iter().filter_map(|upstream| view.beliefs.get(&ask.index.name, *upstream));
-        let held: Vec<_> = beliefs.collect();
+        let versions = upstreams.iter().filter_map(|upstream| view.versions.get(&ask.index.name, *upstream));
+        let held: Vec<_> = versions.collect();
         if let Some(version) = choose_version(&held, cap)
             && version >= layout.first_version
         {
@@ -111,7 +117,7 @@
 }
 
 /// The shards a query wants of a layout.
-pub fn wanted_shards<'a>(ask: &'a QueryAsk, layout: &'a ShardLayout) -> Box<dyn Iterator<Item = ShardId> + 'a> {
+pub fn wanted_shards<'a>(ask: &'a QueryJob, layout: &'a ShardLayout) -> Box<dyn Iterator<Item = ShardId> + 'a> {
     match &ask.wanted {
         Some(wanted) => Box::new(wanted.iter().copied()),
         None => Box::new((0..layout.shards.len() as u32).map(ShardId)),
@@ -119,10 +125,10 @@
 }
 
 /// Asks the owners which versions their servers hold, until some are known.
-async fn learn_versions(
+async fn query_versions(
     node: &Arc<Node>,
     view: &Arc<ClusterView>,
-    ask: &QueryAsk,
+    ask: &QueryJob,
     layout: &ShardLayout,
 ) -> Result<(), QueryFailure> {
     let config = view.config.as_ref().ok_or(QueryFailure::NoVersion)?;
@@ -132,7 +138,7 @@
         if pin(view, ask).is_some() {
             return Ok(());
         }
-        tokio::time::sleep(UNPINNED_PAUSE).await;
+        tokio::time::sleep(UNPINNED_DELAY).await;
     }
     Err(QueryFailure::NoVersion)
 }
--- a/crates/daemon/src/round.rs
+++ b/crates/daemon/src/round.rs
@@ -12,9 +12,9 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
-use crate::fold::AnswerFold;
+use crate::merger::AnswerMerger;
 use crate::node::Node;
-use crate::query::{QueryAsk, QueryFailure, pin, wanted_shards};
+use crate::query::{QueryFailure, QueryJob, pin, wanted_shards};
 use crate::stats;
 use crate::view::{ClusterView, WorkTarget};
 use crate::wire::{BatchRequest, PATH_BATCH, PieceReply, PieceRequest};
@@ -51,9 +51,9 @@
 }
 
 /// How a round ended.
-pub enum RoundEnd {
+pub enum RoundOutcome {
     /// With what was folded.
-    Answer(AnswerFold),
+    Answer(AnswerMerger),
     /// The version is gone; a newer one serves the caller better.
     Restart,
 }
@@ -63,16 +63,16 @@
     node: &'a Arc<Node>,
     view: &'a Arc<ClusterView>,
     config: &'a Arc<Configuration>,
-    ask: &'a QueryAsk,
+    ask: &'a QueryJob,
     version: Option<IndexVersion>,
     pieces: Vec<QueryPiece>,
-    fold: AnswerFold,
+    fold: AnswerMerger,
     running: JoinSet<()>,
     events: (mpsc::Sender<PieceEvent>, mpsc::Receiver<PieceEvent>),
     calls: u64,
     /// When owners that have not replied are taken to be silent; none after that, or before
     /// it is known how long they take.
-    silent_at: Option<Moment>,
+    owner_hedge_at: Option<Moment>,
     /// How the work of its pieces went.
     pub work: WorkReport,
 }
@@ -86,13 +86,13 @@
         node: &'a Arc<Node>,
         view: &'a Arc<ClusterView>,
         config: &'a Arc<Configuration>,
-        ask: &'a QueryAsk,
+        ask: &'a QueryJob,
         version: Option<IndexVersion>,
         layout: &ShardLayout,
     ) -> Result<Self, QueryFailure> {
         let shards: Vec<ShardId> = wanted_shards(ask, layout).collect();
         let pieces = plan(config, &node.settings.domain, layout, &shards)?;
-        let fold = AnswerFold::new(&shards);
+        let fold = AnswerMerger::new(&shards);
         let events = mpsc::channel(REPLY_BUFFER);
         Ok(Self {
             node,
@@ -105,31 +105,31 @@
             running: JoinSet::new(),
             events,
             calls: 0,
-            silent_at: None,
+            owner_hedge_at: None,
             work: WorkReport::default(),
         })
     }
 
     /// Runs the round to its end.
-    pub async fn run(&mut self, may_restart: bool) -> RoundEnd {
+    pub async fn run(&mut self, may_restart: bool) -> RoundOutcome {
         let all: Vec<u32> = (0..self.pieces.len() as u32).collect();
-        let patience = self.node.owners_patience().filter(|_| self.version.is_some());
-        self.silent_at = patience.map(|patience| self.node.clock.now().plus(patience));
+        let patience = self.node.owner_hedge_delay().filter(|_| self.version.is_some());
+        self.owner_hedge_at = patience.map(|patience| self.node.clock.now().plus(patience));
         self.send(&all);
         while !self.fold.is_done() && !self.is_enough() {
             let Some(event) = self.next_event().await else { break };
             match event {
-                Some(PieceEvent::Reply(reply)) => self.take_reply(reply),
-                Some(PieceEvent::Lost(piece)) => self.take_loss(piece, MissingReason::NoOwner),
-                None => self.hedge_silent(),
+                Some(PieceEvent::Reply(reply)) => self.handle_reply(reply),
+                Some(PieceEvent::Lost(piece)) => self.handle_loss(piece, MissingReason::NoOwner),
+                None => self.hedge_unresponsive(),
             }
             if may_restart && self.is_restart_due() {
-                return RoundEnd::Restart;
+                return RoundOutcome::Restart;
             }
         }
         stats::count_calls(self.pieces.len() as u64, self.calls);
-        let empty = AnswerFold::new(&[]);
-        RoundEnd::Answer(std::mem::replace(&mut self.fold, empty))
+        let empty = AnswerMerger::new(&[]);
+        RoundOutcome::Answer(std::mem::replace(&mut self.fold, empty))
     }
 
     /// The next event; `Some(None)` when it is time to look again, `None` at the deadline.
@@ -139,7 +139,7 @@
             return None;
         }
         let preferred = self.ask.started.plus(self.ask.rule.prefer_within);
-        let later = [Some(preferred), self.silent_at].into_iter().flatten().filter(|moment| *moment > now);
+        let later = [Some(preferred), self.owner_hedge_at].into_iter().flatten().filter(|moment| *moment > now);
         let wake = later.fold(self.ask.deadline, Moment::min);
         let waited = tokio::time::timeout(wake.since(now), self.events.1.recv()).await;
         Some(waited.ok().flatten())
@@ -147,11 +147,11 @@
 
     /// Sends what a silent owner was asked for to another owner too. An owner's own hedges
     /// cannot help while the owner itself is frozen or cut off.
-    fn hedge_silent(&mut self) {
-        if self.silent_at.is_none_or(|silent_at| self.node.clock.now() < silent_at) {
+    fn hedge_unresponsive(&mut self) {
+        if self.owner_hedge_at.is_none_or(|owner_hedge_at| self.node.clock.now() < owner_hedge_at) {
             return;
         }
-        self.silent_at = None;
+        self.owner_hedge_at = None;
         let numbers = 0..self.pieces.len() as u32;
         let silent: Vec<u32> = numbers.filter(|number| self.may_hedge(*number)).collect();
         for number in &silent {
@@ -192,23 +192,23 @@
         gone as f64 > allowed * self.fold.len() as f64 && next > self.version
     }
 
-    fn take_reply(&mut self, reply: PieceReply) {
+    fn handle_reply(&mut self, reply: PieceReply) {
         let Some(piece) = self.pieces.get(reply.piece as usize) else { return };
         let upstream = piece.upstream();
         if let Some(held) = reply.held {
-            self.view.beliefs.learn(&self.ask.index.name, upstream, held);
+            self.view.versions.learn(&self.ask.index.name, upstream, held);
         }
         self.calls += u64::from(reply.calls);
         self.work.waited += Duration::from_micros(reply.waited_us);
         self.work.served += Duration::from_micros(reply.served_us);
         match reply.result {
-            Ok(results) => self.take_results(reply.piece, reply.version, results),
-            Err(reason) => self.take_loss(reply.piece, reason),
+            Ok(results) => self.merge_results(reply.piece, reply.version, results),
+            Err(reason) => self.handle_loss(reply.piece, reason),
         }
     }
 
     /// Folds results; those of another version than the pinned one never get in.
-    fn take_results(&mut self, piece: u32, version: Option<IndexVersion>, results: Vec<(ShardId, Vec<u8>)>) {
+    fn merge_results(&mut self, piece: u32, version: Option<IndexVersion>, results: Vec<(ShardId, Vec<u8>)>) {
         let state = &mut self.pieces[piece as usize];
         state.open = state.open.saturating_sub(1);
         let wanted = &self.pieces[piece as usize].shards;
@@ -228,26 +228,26 @@
     /// Marks what is not answered of a piece as missing.
     fn miss(&mut self, piece: u32, reason: MissingReason) {
         for shard in &self.pieces[piece as usize].shards {
-            self.fold.miss(*shard, reason);
+            self.fold.mark_missing(*shard, reason);
         }
     }
 
     /// Sends a lost piece elsewhere if there is somewhere and time, else marks it missing.
-    fn take_loss(&mut self, piece: u32, reason: MissingReason) {
+    fn handle_loss(&mut self, piece: u32, reason: MissingReason) {
         let state = &mut self.pieces[piece as usize];
         state.open = state.open.saturating_sub(1);
         if state.open > 0 || state.is_answered {
             return;
         }
         let has_time = self.node.clock.now() < self.ask.deadline;
-        if has_time && self.version.is_some() && self.turn_elsewhere(piece, reason) {
+        if has_time && self.version.is_some() && self.reroute(piece, reason) {
             return self.send(&[piece]);
         }
         self.miss(piece, reason);
     }
 
     /// Points a piece at its next owner or, where the servers are at fault, its next upstream.
-    fn turn_elsewhere(&mut self, number: u32, reason: MissingReason) -> bool {
+    fn reroute(&mut self, number: u32, reason: MissingReason) -> bool {
         let piece = &mut self.pieces[number as usize];
         piece.sends += 1;
         if piece.sends > MAX_SENDS {
@@ -292,7 +292,7 @@
             self.send_batch(target, pieces);
         }
         for number in unowned {
-            self.take_loss(number, MissingReason::NoOwner);
+            self.handle_loss(number, MissingReason::NoOwner);
         }
     }
 
@@ -318,13 +318,13 @@
                 let mut open = numbers;
                 if let Ok(mut reader) = link.stream(PATH_BATCH, &batch).await {
                     while let Ok(Some(reply)) = reader.next::<PieceReply>().await {
-                        if !close_piece(&mut open, reply.piece) {
+                        if !remove_pending(&mut open, reply.piece) {
                             // Such an owner is not to be believed; what is open counts as lost.
                             stats::count_bad_peer();
                             break;
                         }
                         let now = node.clock.now();
-                        node.note_owner_reply(now.since(sent));
+                        node.record_owner_reply(now.since(sent));
                         link.record_reply(now);
                         // The round ends only together with this task.
                         let _ = events.send(PieceEvent::Reply(reply)).await;
@@ -340,7 +340,7 @@
 
 /// Takes a piece off a batch's open ones; false for one that is not open: it was replied to
 /// before, or belongs to another batch.
-pub fn close_piece(open: &mut Vec<u32>, piece: u32) -> bool {
+pub fn remove_pending(open: &mut Vec<u32>, piece: u32) -> bool {
     let position = open.iter().position(|number| *number == piece);
     position.map(|position| open.swap_remove(position)).is_some()
 }
--- a/crates/daemon/src/route_node.rs
+++ b/crates/daemon/src/route_node.rs
@@ -18,7 +18,7 @@
 const LOOK_EVERY: Duration = Duration::from_secs(2);
 /// The longest `caller_way` that is accepted: no network path takes longer. A longer one is a mistake in the settings,
 /// and requests would be given up as soon as they are read.
-const MAX_CALLER_WAY: Duration = Duration::from_secs(1);
+const MAX_CALLER_DELAY: Duration = Duration::from_secs(1);
 
 /// Reads and checks the settings that the arguments name.
 ///
@@ -63,7 +63,7 @@
         "off without scheduling.by_team",
     );
     if let Some(way) = settings.caller_way {
-        check_range("caller_way", way.0.as_secs_f64(), way.0 <= MAX_CALLER_WAY, "1s at most");
+        check_range("caller_way", way.0.as_secs_f64(), way.0 <= MAX_CALLER_DELAY, "1s at most");
     }
     let spans = [
         ("extra_calls.window", extra.window),
@@ -102,7 +102,7 @@
 ///
 /// # Errors
 /// The system refuses.
-pub fn hold_hangups() -> std::io::Result<()> {
+pub fn ignore_hangups() -> std::io::Result<()> {
     // No runtime is built for it, which takes longer than all that comes before.
     signal_hook::flag::register(SIGHUP, Arc::new(AtomicBool::new(false))).map(drop)
 }
@@ -119,7 +119,7 @@
 }
 
 /// Takes SIGHUP from now on as a word to read the settings.
-pub fn take_hangups() -> Option<Signal> {
+pub fn listen_for_hangups() -> Option<Signal> {
     match signal(SignalKind::hangup()) {
         Ok(hangups) => Some(hangups),
         Err(error) => {
@@ -138,9 +138,9 @@
     mut hangups: Option<Signal>,
 ) {
     loop {
-        let is_told = wait_look(&mut hangups).await;
+        let is_reported = wait_for_check(&mut hangups).await;
         let found = SettingsFile::read(&args);
-        if !is_told && found == known {
+        if !is_reported && found == known {
             continue;
         }
         known = found;
@@ -152,7 +152,7 @@
 }
 
 /// Waits for the next look at the settings; whether a signal asked for it.
-async fn wait_look(hangups: &mut Option<Signal>) -> bool {
+async fn wait_for_check(hangups: &mut Option<Signal>) -> bool {
     let Some(hangups) = hangups else {
         tokio::time::sleep(LOOK_EVERY).await;
         return false;
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -11,12 +11,12 @@
 use crate::gossip;
 use crate::node::Node;
 use crate::node_start::RunningNode;
-use crate::wire::{AdoptRequest, PATH_ADOPT, TakenReply};
+use crate::wire::{AdoptReply, AdoptRequest, PATH_ADOPT};
 
 /// How long handing over tickets to one node may take.
 const ADOPT_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long telling the others of the end may take.
-const FAREWELL_TIMEOUT: Duration = Duration::from_secs(1);
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How far a planned stop has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -37,14 +37,14 @@
     /// unless it outlasts the grace.
     pub async fn stop(mut self) {
         let node = self.node.clone();
-        node.enter(StopPhase::LameDuck);
+        node.enter_phase(StopPhase::LameDuck);
         tokio::time::sleep(node.settings.lame_duck).await;
-        node.enter(StopPhase::Refusing);
+        node.enter_phase(StopPhase::Refusing);
         wait_for_zero(&node.orders, node.settings.grace).await;
         hand_over(&node).await;
         wait_for_zero(&node.work, node.settings.grace).await;
-        node.enter(StopPhase::Ended);
-        say_good_bye(&node).await;
+        node.enter_phase(StopPhase::Ended);
+        announce_stop(&node).await;
         self.tasks.shutdown().await;
     }
 
@@ -70,16 +70,17 @@
 /// only once it is acknowledged and told, so at most one node ever answers for a ticket.
 async fn hand_over(node: &Arc<Node>) {
     let now = node.clock.now();
-    let mut books = vec![node.own_book.hand_over(now)];
-    books.extend(node.books().iter().map(|book| book.hand_over(now)));
-    let records: Vec<_> = books.iter().map(|book| (book.node.clone(), book.incarnation, book.hops)).collect();
-    let request = AdoptRequest { books };
+    let mut handovers = vec![node.own_tickets.hand_over(now)];
+    handovers.extend(node.adopted_tables().iter().map(|table| table.hand_over(now)));
+    let records: Vec<_> =
+        handovers.iter().map(|handover| (handover.node.clone(), handover.incarnation, handover.hops)).collect();
+    let request = AdoptRequest { handovers };
     let mut candidates: Vec<MemberEntry> = node.members().workers(now).cloned().collect();
     candidates.retain(|entry| entry.node != node.settings.node);
     candidates.sort_by_key(|entry| entry.domain != node.settings.domain);
     for candidate in candidates {
-        let link = node.links.at(candidate.peer_address);
-        let taken = link.call::<_, TakenReply>(PATH_ADOPT, &request, ADOPT_TIMEOUT).await;
+        let link = node.links.for_address(candidate.peer_address);
+        let taken = link.call::<_, AdoptReply>(PATH_ADOPT, &request, ADOPT_TIMEOUT).await;
         if taken.is_ok() {
             let mut members = node.members();
             for (minter, incarnation, hops) in records {
@@ -94,13 +95,13 @@
 }
 
 /// Tells every live node of the end and of the hand-over, and waits for them to take it in.
-async fn say_good_bye(node: &Arc<Node>) {
+async fn announce_stop(node: &Arc<Node>) {
     let now = node.clock.now();
     let others: Vec<SocketAddr> = node.members().workers(now).map(|entry| entry.peer_address).collect();
     let mut told = JoinSet::new();
     for address in others {
-        told.spawn(gossip::exchange(node.clone(), node.links.at(address)));
+        told.spawn(gossip::exchange(node.clone(), node.links.for_address(address)));
     }
     // Whoever is not reached learns it from the others.
-    let _ = tokio::time::timeout(FAREWELL_TIMEOUT, async { while told.join_next().await.is_some() {} }).await;
+    let _ = tokio::time::timeout(ANNOUNCE_TIMEOUT, async { while told.join_next().await.is_some() {} }).await;
 }
--- a/crates/daemon/src/tickets.rs
+++ b/crates/daemon/src/tickets.rs
@@ -19,7 +19,7 @@
 /// Bytes of the MAC kept in a ticket.
 const MAC_LEN: usize = 16;
 /// Tickets remembered at most, so that memory is bounded.
-const MAX_REMEMBERED: usize = 200_000;
+const MAX_USED_TICKETS: usize = 200_000;
 
 /// A ticket taken apart.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -66,7 +66,7 @@
 
 /// Why a ticket may not be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TicketFault {
+pub enum TicketError {
     /// It is forged or another caller's: under it nothing ever ran.
     Forged,
     /// It has expired and its outcome, if any, is forgotten.
@@ -74,7 +74,7 @@
 }
 
 /// The tickets of one run of one node.
-pub struct TicketBook {
+pub struct TicketTable {
     node: NodeId,
     incarnation: Incarnation,
     secret: [u8; 32],
@@ -86,10 +86,10 @@
     used: OutcomeTable<u64>,
 }
 
-impl TicketBook {
+impl TicketTable {
     /// The book of a new run.
     pub fn new(node: NodeId, incarnation: Incarnation, life: Duration, now: Moment) -> Self {
-        let used = OutcomeTable::new(life * 2, MAX_REMEMBERED);
+        let used = OutcomeTable::new(life * 2, MAX_USED_TICKETS);
         Self {
             node,
             incarnation,
@@ -105,7 +105,7 @@
 
     /// The book of another run, taken over in its planned stop.
     pub fn adopt(handover: TicketHandover, life: Duration, now: Moment) -> Self {
-        let used = OutcomeTable::new(life * 2, MAX_REMEMBERED);
+        let used = OutcomeTable::new(life * 2, MAX_USED_TICKETS);
         for (sequence, reply) in handover.used {
             used.adopt(now, sequence, reply);
         }
@@ -153,16 +153,16 @@
     ///
     /// # Errors
     /// The ticket is forged, another caller's, or expired and not remembered.
-    pub fn begin(&self, now: Moment, ticket: &OrderTicket, caller: &CallerName) -> Result<KeyUse, TicketFault> {
+    pub fn begin(&self, now: Moment, ticket: &OrderTicket, caller: &CallerName) -> Result<KeyUse, TicketError> {
         let mac = self.mac(ticket.sequence, ticket.expires_ms, caller);
         if !self.is_own(ticket) || mac.verify_truncated_left(&ticket.mac).is_err() {
-            return Err(TicketFault::Forged);
+            return Err(TicketError::Forged);
         }
         if let Some(outcome) = self.used.find(&ticket.sequence) {
             return Ok(KeyUse::Wait(outcome));
         }
         if now.since(self.started).as_millis() > u128::from(ticket.expires_ms) {
-            return Err(TicketFault::Expired);
+            return Err(TicketError::Expired);
         }
         Ok(self.used.begin(now, ticket.sequence))
     }
--- a/crates/daemon/src/upstream.rs
+++ b/crates/daemon/src/upstream.rs
@@ -24,16 +24,16 @@
 /// How long connecting may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The first pause after a failed connect; each is twice the one before, with jitter.
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
+const FIRST_DELAY: Duration = Duration::from_millis(20);
 /// The longest such pause.
-const MAX_PAUSE: Duration = Duration::from_secs(2);
+const MAX_DELAY: Duration = Duration::from_secs(2);
 /// Pings find a connection that is cut without a word.
-const PING_EVERY: Duration = Duration::from_secs(1);
+const PING_INTERVAL: Duration = Duration::from_secs(1);
 const PING_TIMEOUT: Duration = Duration::from_secs(2);
 /// Flow-control window of each stream and connection.
 const WINDOW: u32 = 4 << 20;
 /// HTTP/1.1 connections kept warm.
-const WARM_HTTP1: u32 = 2;
+const MIN_IDLE_HTTP1: u32 = 2;
 
 /// Whether a server can be reached, as its connections tell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -87,9 +87,9 @@
 }
 
 /// Counts one open connection for as long as it lives.
-struct OpenCount(Arc<AtomicU32>);
+struct ConnectionGuard(Arc<AtomicU32>);
 
-impl Drop for OpenCount {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -100,7 +100,7 @@
     pub fn open(address: ServerAddress, protocol: ServerProtocol, share: u32) -> (Arc<Self>, JoinHandle<()>) {
         let link = Arc::new(Self {
             address,
-            authority: write_authority(address),
+            authority: make_authority(address),
             protocol,
             share,
             shared: ArcSwapOption::empty(),
@@ -167,10 +167,10 @@
         let sender = SendRequest::clone(&shared);
         let mut sender = sender.ready().await.map_err(|_| AttemptOutcome::NotSent)?;
         let (parts, body) = request.into_parts();
-        let is_bare = body.is_empty();
-        let sent = sender.send_request(Request::from_parts(parts, ()), is_bare);
+        let is_bodyless = body.is_empty();
+        let sent = sender.send_request(Request::from_parts(parts, ()), is_bodyless);
         let (response, mut stream) = sent.map_err(|_| AttemptOutcome::NotSent)?;
-        if !is_bare {
+        if !is_bodyless {
             // Held back by flow control, it waits inside the stream; its size is bounded at the caller.
             stream.send_data(body, true).map_err(|error| classify(&error))?;
         }
@@ -206,10 +206,10 @@
     }
 
     /// Counts one more connection, unless the share is used up.
-    fn count_open(&self) -> Option<OpenCount> {
+    fn count_open(&self) -> Option<ConnectionGuard> {
         let more = |open| (open < self.share).then_some(open + 1);
         let counted = self.open.fetch_update(Ordering::Relaxed, Ordering::Relaxed, more);
-        counted.ok().map(|_| OpenCount(self.open.clone()))
+        counted.ok().map(|_| ConnectionGuard(self.open.clone()))
     }
 
     async fn connect_tcp(&self) -> Option<TcpStream> {
@@ -232,7 +232,7 @@
     }
 
     /// Connects and holds the connection until it ends; false if it could not connect.
-    async fn hold_http2(&self) -> bool {
+    async fn run_http2(&self) -> bool {
         let Some(count) = self.count_open() else { return false };
         let Some(stream) = self.connect_tcp().await else { return false };
         let mut builder = h2::client::Builder::new();
@@ -253,8 +253,8 @@
     }
 
     /// Keeps a few idle connections; false if one could not be opened.
-    async fn warm_http1(&self) -> bool {
-        let wanted = WARM_HTTP1.min(self.share);
+    async fn keep_warm_http1(&self) -> bool {
+        let wanted = MIN_IDLE_HTTP1.min(self.share);
         let Ok(ready) = self.idle.lock().map(|mut idle| {
             idle.retain(|sender| !sender.is_closed());
             idle.len() as u32
@@ -280,20 +280,20 @@
 }
 
 /// An IP number and port are always an authority.
-fn write_authority(address: ServerAddress) -> Authority {
+fn make_authority(address: ServerAddress) -> Authority {
     Authority::try_from(address.to_string()).unwrap_or_else(|_| Authority::from_static("127.0.0.1"))
 }
 
 /// Keeps a link connected for as long as the task runs, with growing, jittered pauses
 /// while the server cannot be reached.
 async fn keep_connected(link: Arc<ServerLink>) {
-    let mut pause = FIRST_PAUSE;
+    let mut pause = FIRST_DELAY;
     loop {
         let connected = match link.protocol {
-            ServerProtocol::H2 => link.hold_http2().await,
-            ServerProtocol::Http1 => link.warm_http1().await,
+            ServerProtocol::H2 => link.run_http2().await,
+            ServerProtocol::Http1 => link.keep_warm_http1().await,
         };
-        pause = if connected { FIRST_PAUSE } else { (pause * 2).min(MAX_PAUSE) };
+        pause = if connected { FIRST_DELAY } else { (pause * 2).min(MAX_DELAY) };
         if !connected {
             link.state.send_replace(LinkState::Down);
         }
@@ -305,7 +305,7 @@
 async fn watch_pings(pings: Option<h2::PingPong>) {
     let Some(mut pings) = pings else { return std::future::pending().await };
     loop {
-        tokio::time::sleep(PING_EVERY).await;
+        tokio::time::sleep(PING_INTERVAL).await;
         let answered = tokio::time::timeout(PING_TIMEOUT, pings.ping(h2::Ping::opaque())).await;
         if !matches!(answered, Ok(Ok(_))) {
             return;
--- a/crates/daemon/src/view.rs
+++ b/crates/daemon/src/view.rs
@@ -30,20 +30,20 @@
     /// Owners of each upstream, the preferred one first.
     pub owners: Vec<Arc<[WorkTarget]>>,
     /// What is believed of index versions.
-    pub beliefs: Arc<VersionTable>,
+    pub versions: Arc<VersionTable>,
 }
 
 impl ClusterView {
     /// A view without configuration or nodes.
     pub fn empty() -> Self {
-        Self { config: None, workers: HashMap::new(), owners: Vec::new(), beliefs: Arc::default() }
+        Self { config: None, workers: HashMap::new(), owners: Vec::new(), versions: Arc::default() }
     }
 
     /// A view with the owners worked out; `count` owners for each upstream.
     pub fn build(
         config: Option<Arc<Configuration>>,
         workers: HashMap<FailureDomain, Vec<WorkTarget>>,
-        beliefs: Arc<VersionTable>,
+        versions: Arc<VersionTable>,
         count: usize,
     ) -> Self {
         let specs = config.iter().flat_map(|config| &config.upstreams);
@@ -53,7 +53,7 @@
             choose_targets(domain, spec.name.as_str(), count)
         });
         let owners = owners.collect();
-        Self { config, workers, owners, beliefs }
+        Self { config, workers, owners, versions }
     }
 
     /// The owner to try as number `attempt` for a request: this node first if it is one, else
@@ -87,7 +87,7 @@
 
 /// Oldest and newest version believed held, 0 and 0 for nothing known.
 #[derive(Debug, Default)]
-struct BeliefCell {
+struct VersionCell {
     oldest: AtomicU64,
     newest: AtomicU64,
 }
@@ -95,13 +95,13 @@
 /// What is believed of the versions each upstream holds. Cells only rise.
 #[derive(Debug, Default)]
 pub struct VersionTable {
-    indexes: HashMap<IndexName, Vec<BeliefCell>>,
+    indexes: HashMap<IndexName, Vec<VersionCell>>,
 }
 
 impl VersionTable {
     /// An empty table for a configuration.
     pub fn new(config: &Configuration) -> Self {
-        let cells = || config.upstreams.iter().map(|_| BeliefCell::default()).collect();
+        let cells = || config.upstreams.iter().map(|_| VersionCell::default()).collect();
         Self { indexes: config.indexes.keys().map(|name| (name.clone(), cells())).collect() }
     }
 
--- a/crates/daemon/src/watch.rs
+++ b/crates/daemon/src/watch.rs
@@ -14,24 +14,24 @@
 /// Watchers in each failure domain.
 const WATCHERS: usize = 2;
 /// How often the duty is looked at again.
-const DUTY_EVERY: Duration = Duration::from_secs(1);
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// A node that is no watcher asks once its configuration has been unconfirmed this long.
 const FALLBACK_AGE: Duration = Duration::from_secs(30);
 /// Pause between two asks of a node without a configuration, or after a failed one.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
+const FIRST_DELAY: Duration = Duration::from_millis(200);
 /// The longest pause in an outage.
-const MAX_PAUSE: Duration = Duration::from_secs(10);
+const MAX_DELAY: Duration = Duration::from_secs(10);
 
 /// Watches until the node ends.
 pub async fn run(node: Arc<Node>) {
     let mut tag: Option<EntityTag> = None;
-    let mut pause = FIRST_PAUSE;
+    let mut pause = FIRST_DELAY;
     loop {
         let has_none = node.keeper.current().is_none();
         let is_stale = node.keeper.age_ms() > FALLBACK_AGE.as_millis() as u64;
         let is_watcher = is_watcher(&node);
         if !is_watcher && !has_none && !is_stale {
-            tokio::time::sleep(DUTY_EVERY.mul_f64(rand::random_range(0.8..1.2))).await;
+            tokio::time::sleep(ROLE_CHECK_INTERVAL.mul_f64(rand::random_range(0.8..1.2))).await;
             continue;
         }
         let seen = match has_none || !is_watcher {
@@ -39,14 +39,14 @@
             false => node.store.watch_head(tag.clone(), WATCH_WAIT).await,
         };
         let failed = match seen {
-            Ok(Some((head, seen_tag))) => take_head(&node, head).await.map(|()| tag = Some(seen_tag)).is_err(),
+            Ok(Some((head, seen_tag))) => handle_head(&node, head).await.map(|()| tag = Some(seen_tag)).is_err(),
             Ok(None) => {
                 node.keeper.confirm(node.keeper.version(), 0);
                 has_none
             }
             Err(_) => true,
         };
-        pause = if failed { (pause * 2).min(MAX_PAUSE) } else { FIRST_PAUSE };
+        pause = if failed { (pause * 2).min(MAX_DELAY) } else { FIRST_DELAY };
         tokio::time::sleep(pause.mul_f64(rand::random_range(0.5..1.0))).await;
     }
 }
@@ -59,15 +59,15 @@
     choose_owners(names, "watch", WATCHERS).contains(&node.settings.node.as_str())
 }
 
-async fn take_head(node: &Arc<Node>, head: HeadRecord) -> Result<(), LoadError> {
+async fn handle_head(node: &Arc<Node>, head: HeadRecord) -> Result<(), LoadError> {
     let version = head.version;
-    match node.keeper.judge_head(&head) {
-        OfferResult::Taken => {
+    match node.keeper.compare_head(&head) {
+        OfferResult::Accepted => {
             let bundle = node.store.read_bundle(head).await?;
             node.offer(bundle);
         }
         OfferResult::Same => node.keeper.confirm(version, 0),
-        OfferResult::Older | OfferResult::Alarm => {}
+        OfferResult::Older | OfferResult::Rejected => {}
     }
     Ok(())
 }
--- a/crates/daemon/src/wire.rs
+++ b/crates/daemon/src/wire.rs
@@ -187,12 +187,12 @@
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct AdoptRequest {
     /// Its own tickets and those it took over itself.
-    pub books: Vec<TicketHandover>,
+    pub handovers: Vec<TicketHandover>,
 }
 
 /// That a message was taken.
 #[derive(Debug, Clone, Encode, Decode)]
-pub struct TakenReply;
+pub struct AdoptReply;
 
 /// Tickets of one run handed over in a planned stop.
 #[derive(Debug, Clone, Encode, Decode)]
--- a/crates/daemon/tests/decode.rs
+++ b/crates/daemon/tests/decode.rs
@@ -2,16 +2,16 @@
 
 use quickcheck::quickcheck;
 use std::time::Duration;
-use streamfold_daemon::round::close_piece;
-use streamfold_daemon::tickets::{OrderTicket, TicketBook, TicketFault};
+use streamfold_daemon::round::remove_pending;
+use streamfold_daemon::tickets::{OrderTicket, TicketError, TicketTable};
 use streamfold_daemon::wire::{AdoptRequest, BatchRequest, ConfigReply, GossipMessage, OrderRequest, PieceReply};
 use streamfold_link::{decode_body, encode_frame};
 use streamfold_model::{Incarnation, MissingReason, RequestId, ShardId};
 use streamfold_policy::Moment;
 
-fn book() -> TicketBook {
+fn book() -> TicketTable {
     let node = "vienna-1.a".parse().expect("an id");
-    TicketBook::new(node, Incarnation(17), Duration::from_secs(60), Moment(0))
+    TicketTable::new(node, Incarnation(17), Duration::from_secs(60), Moment(0))
 }
 
 quickcheck! {
@@ -45,7 +45,7 @@
     /// However an owner replies, each piece of its batch is taken once and no other ever.
     fn a_piece_is_replied_to_once(count: u8, replies: Vec<u8>) -> bool {
         let mut open: Vec<u32> = (0..u32::from(count)).collect();
-        let mut taken: Vec<u32> = replies.into_iter().map(u32::from).filter(|piece| close_piece(&mut open, *piece)).collect();
+        let mut taken: Vec<u32> = replies.into_iter().map(u32::from).filter(|piece| remove_pending(&mut open, *piece)).collect();
         let all = taken.len() + open.len() == usize::from(count);
         taken.sort_unstable();
         let once = taken.windows(2).all(|pair| pair[0] != pair[1]);
@@ -66,7 +66,7 @@
         let changed = String::from_utf8(bytes).expect("text");
         match changed.parse::<OrderTicket>() {
             Ok(ticket) if ticket.to_string() != text => {
-                matches!(book.begin(Moment(2), &ticket, &caller), Err(TicketFault::Forged))
+                matches!(book.begin(Moment(2), &ticket, &caller), Err(TicketError::Forged))
             }
             _ => true,
         }
@@ -91,9 +91,9 @@
     let ticket = book.mint(Moment(0), &caller);
     let read: OrderTicket = ticket.to_string().parse().expect("a ticket");
     assert_eq!(read, ticket);
-    assert!(matches!(book.begin(Moment(1), &ticket, &other), Err(TicketFault::Forged)));
+    assert!(matches!(book.begin(Moment(1), &ticket, &other), Err(TicketError::Forged)));
     let late = Moment(0).plus(Duration::from_secs(61));
-    assert!(matches!(book.begin(late, &ticket, &caller), Err(TicketFault::Expired)));
+    assert!(matches!(book.begin(late, &ticket, &caller), Err(TicketError::Expired)));
     assert!(book.begin(Moment(1), &ticket, &caller).is_ok());
     assert!(book.begin(late, &ticket, &caller).is_ok(), "a ticket that was used is remembered past its expiry");
 }
