--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -107,10 +107,10 @@
     }
     let deadline = read_deadline(&context, request.headers())?;
     let rule = read_finish_rule(&context.caller, request.headers())?;
-    let wanted = read_shards(parameters)?;
+    let shards = read_shards(parameters)?;
     let body = read_body(node, request).await?;
     let started = context.started;
-    let job = QueryJob { request: id, index: spec, body, wanted, started, deadline, rule };
+    let job = QueryJob { request: id, index: spec, body, shards, started, deadline, rule };
     let mut permit = admit(node, &context, deadline).await?;
     let answer =
         crate::query::run(node, &context.view, &job, &mut permit.work).await.map_err(|failure| match failure {
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -75,7 +75,7 @@
     #[error(transparent)]
     Router(streamfold_router::error::RouterError),
     /// The metrics recorder cannot be installed.
-    #[error("setting up metrics: {0}")]
+    #[error("installing the metrics recorder: {0}")]
     Metrics(String),
 }
 
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -76,7 +76,7 @@
 
 #[tokio::main]
 async fn run_indexes(settings: NodeSettings) -> Result<(), StartError> {
-    let stop = StopSignals::install();
+    let stop = StopSignals::listen();
     logs::start(&settings.log);
     metrics_text::install()?;
     let running = node_start::start(settings).await?;
@@ -88,7 +88,7 @@
 #[tokio::main(worker_threads = 2)]
 async fn run_routes(args: &DaemonArgs, settings: RouterSettings, file: SettingsFile) -> Result<(), StartError> {
     // Handlers are installed before the start, since an operator may send a signal while the node starts.
-    let stop = StopSignals::install();
+    let stop = StopSignals::listen();
     let hangups = route_node::listen_for_hangups();
     logs::start(&settings.log);
     metrics_text::install()?;
@@ -106,7 +106,7 @@
 }
 
 impl StopSignals {
-    fn install() -> Self {
+    fn listen() -> Self {
         Self { terminate: signal(SignalKind::terminate()), interrupt: signal(SignalKind::interrupt()) }
     }
 
--- a/crates/daemon/src/node_view.rs
+++ b/crates/daemon/src/node_view.rs
@@ -46,9 +46,9 @@
         let mut workers: HashMap<FailureDomain, Vec<WorkTarget>> = HashMap::new();
         for entry in members.workers(now) {
             let is_own = entry.node == self.settings.node;
-            let suspect = members.health(now, &entry.node) == MemberHealth::Suspect;
+            let is_suspect = members.health(now, &entry.node) == MemberHealth::Suspect;
             let link = (!is_own).then(|| self.links.for_address(entry.peer_address));
-            let target = WorkTarget { node: entry.node.clone(), link, suspect };
+            let target = WorkTarget { node: entry.node.clone(), link, is_suspect };
             workers.entry(entry.domain.clone()).or_default().push(target);
         }
         workers
@@ -70,7 +70,7 @@
 ) -> bool {
     let same_target = |(a, b): (&WorkTarget, &WorkTarget)| {
         let address = |target: &WorkTarget| target.link.as_ref().map(|link| link.address());
-        a.node == b.node && a.suspect == b.suspect && address(a) == address(b)
+        a.node == b.node && a.is_suspect == b.is_suspect && address(a) == address(b)
     };
     let same_domain = |domain: &FailureDomain, targets: &[WorkTarget]| {
         old.get(domain).is_some_and(|old| old.len() == targets.len() && targets.iter().zip(old).all(same_target))
--- a/crates/daemon/src/pool.rs
+++ b/crates/daemon/src/pool.rs
@@ -1,5 +1,5 @@
-//! What an owner keeps for one upstream: the queue, the links to its servers, and the
-//! attempts of pieces of work.
+//! The pool of one upstream at an owner: the queue with the concurrency limit of each server, the connections to the
+//! servers, and the attempts, hedges and retries of pieces.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -24,33 +24,34 @@
 
 /// Time between health checks of a server.
 const HEALTH_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a health check may take.
+/// Timeout of a health check.
 const HEALTH_TIMEOUT: Duration = Duration::from_secs(1);
-/// Limit on a health answer, in bytes.
+/// Maximum size of a health check's answer, in bytes.
 const HEALTH_LIMIT: usize = 1 << 20;
-/// An HTTP/2 connection carries many calls, so the limit there is a multiple of the slots.
+/// Maximum concurrency limit of an HTTP/2 server, as a multiple of its slots. A connection carries many calls, so the
+/// number of connections does not bound them.
 const LIMIT_PER_SLOT: u32 = 2;
 
-/// The queue and the links of one upstream at one owner.
+/// The queue and the connections of one upstream.
 pub struct UpstreamPool {
-    /// The upstream as configured when the pool was made.
+    /// The configuration of the upstream when the pool was opened.
     pub spec: Arc<UpstreamSpec>,
     clock: NodeClock,
     queue: Mutex<UpstreamQueue<oneshot::Sender<SlotPermit>>>,
     links: Vec<Arc<ServerLink>>,
-    keepers: Mutex<Vec<JoinHandle<()>>>,
+    tasks: Mutex<Vec<JoinHandle<()>>>,
 }
 
 impl Drop for UpstreamPool {
     fn drop(&mut self) {
-        let keepers = self.keepers.get_mut().unwrap_or_else(PoisonError::into_inner);
-        for keeper in keepers {
-            keeper.abort();
+        let tasks = self.tasks.get_mut().unwrap_or_else(PoisonError::into_inner);
+        for task in tasks {
+            task.abort();
         }
     }
 }
 
-/// A slot at a server. Dropping it gives the slot back and starts waiting work.
+/// A slot at a server. Dropping it frees the slot and starts queued work.
 struct SlotPermit {
     pool: Arc<UpstreamPool>,
     server: usize,
@@ -61,34 +62,39 @@
 impl Drop for SlotPermit {
     fn drop(&mut self) {
         let now = self.pool.clock.now();
-        let waited = now.since(self.started);
-        let report = self.report.unwrap_or(CallReport::Cancelled(waited));
+        let elapsed = now.since(self.started);
+        let report = self.report.unwrap_or(CallReport::Cancelled(elapsed));
         let started = self.pool.lock().finish(now, self.server, report, &mut rand::rng());
         self.pool.grant_permits(now, started);
     }
 }
 
 impl UpstreamPool {
-    /// A pool with `share` connections to each server; its tasks end when it is dropped.
-    pub fn open(spec: Arc<UpstreamSpec>, share: u32, rules: Arc<dyn AttemptRules>, clock: NodeClock) -> Arc<Self> {
+    /// Opens a pool with at most `max_connections` connections to each server. Its tasks end when it is dropped.
+    pub fn open(
+        spec: Arc<UpstreamSpec>,
+        max_connections: u32,
+        rules: Arc<dyn AttemptRules>,
+        clock: NodeClock,
+    ) -> Arc<Self> {
         let max_limit = match spec.protocol {
             streamfold_model::ServerProtocol::H2 => spec.slots.saturating_mul(LIMIT_PER_SLOT),
-            streamfold_model::ServerProtocol::Http1 => share,
+            streamfold_model::ServerProtocol::Http1 => max_connections,
         };
         let servers = spec.servers.iter().map(|_| ServerState::new(spec.slots, max_limit)).collect();
-        let opened = spec.servers.iter().map(|server| ServerLink::open(*server, spec.protocol, share));
-        let (links, keepers): (Vec<_>, Vec<_>) = opened.unzip();
+        let opened = spec.servers.iter().map(|server| ServerLink::open(*server, spec.protocol, max_connections));
+        let (links, tasks): (Vec<_>, Vec<_>) = opened.unzip();
         let queue = Mutex::new(UpstreamQueue::new(rules, servers));
-        let pool = Arc::new(Self { spec, clock, queue, links, keepers: Mutex::new(keepers) });
+        let pool = Arc::new(Self { spec, clock, queue, links, tasks: Mutex::new(tasks) });
         pool.start_health_checks();
         pool
     }
 
     fn start_health_checks(self: &Arc<Self>) {
-        let mut keepers = self.keepers.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut tasks = self.tasks.lock().unwrap_or_else(PoisonError::into_inner);
         for server in 0..self.links.len() {
             let pool = Arc::downgrade(self);
-            keepers.push(tokio::spawn(async move {
+            tasks.push(tokio::spawn(async move {
                 while let Some(pool) = pool.upgrade() {
                     pool.check_health(server).await;
                     drop(pool);
@@ -99,22 +105,22 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, UpstreamQueue<oneshot::Sender<SlotPermit>>> {
-        // The queue is consistent between its calls, so a panic elsewhere does not spoil it.
+        // A poisoned lock is used further, since the queue is consistent between calls of its methods.
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The versions that the upstream's servers are believed to hold.
+    /// The range of index versions that the upstream's servers have reported.
     pub fn versions(&self, index: &IndexName) -> Option<HeldVersions> {
         self.lock().versions(index)
     }
 
-    /// A copy of what is known of each server, with its link.
+    /// The link and a copy of the state of each server.
     pub fn servers(&self) -> Vec<(Arc<ServerLink>, ServerState)> {
         let states = self.lock().servers().to_vec();
         self.links.iter().cloned().zip(states).collect()
     }
 
-    /// Pieces of work waiting for a slot.
+    /// The number of queued pieces.
     pub fn waiting(&self) -> usize {
         self.lock().waiting()
     }
@@ -143,14 +149,14 @@
         SlotPermit { pool: self.clone(), server, started: now, report: None }
     }
 
-    /// Hands started work its permits; one that nobody waits for any more frees its slot at once.
+    /// Sends permits to started work.
     fn grant_permits(
         self: &Arc<Self>,
         now: Moment,
         started: Vec<streamfold_policy::StartedWork<oneshot::Sender<SlotPermit>>>,
     ) {
         for work in started {
-            // A receiver that is gone gives the permit back, and dropping it frees the slot.
+            // If the receiver is gone, the permit is dropped here, which frees the slot.
             let _ = work.tag.send(self.permit(work.server, now));
         }
     }
@@ -160,13 +166,13 @@
         let (sender, receiver) = oneshot::channel();
         let deadline = item.deadline;
         let submission = self.lock().submit(now, item, is_retry, sender, &mut rand::rng());
-        let number = match submission {
+        let id = match submission {
             QueueSubmission::Started(server, _) => return Ok(self.permit(server, now)),
             QueueSubmission::VersionGone(_) => return Err(MissingReason::VersionGone),
             QueueSubmission::Leaving(_) => return Err(MissingReason::Leaving),
-            QueueSubmission::Waiting(number) => number,
+            QueueSubmission::Waiting(id) => id,
         };
-        let _guard = WaitGuard { pool: self, number };
+        let _guard = WaitGuard { pool: self, id };
         let granted = tokio::time::timeout(deadline.since(now), receiver).await;
         match granted {
             Ok(Ok(permit)) => Ok(permit),
@@ -174,8 +180,8 @@
         }
     }
 
-    /// Runs one piece of work: attempts, hedges and retries. The caller of this ends it at
-    /// the deadline; `progress` then still tells how far it came.
+    /// Runs a piece with its attempts, hedges and retries. The caller drops the future at the deadline; `progress` can be
+    /// read after that.
     pub async fn run(
         self: &Arc<Self>,
         context: &PieceContext,
@@ -185,7 +191,7 @@
         PieceRun { pool: self, context, shards, progress }.run().await
     }
 
-    /// Makes one call on a slot.
+    /// Sends one call to the server of the slot.
     async fn call(
         self: &Arc<Self>,
         mut permit: SlotPermit,
@@ -195,8 +201,8 @@
         let server = permit.server;
         let attempt = AttemptId(rand::random());
         let now = self.clock.now();
-        let left = context.deadline.since(now);
-        let request = self.build_request(server, attempt, context, &format_shards(shards), left);
+        let remaining = context.deadline.since(now);
+        let request = self.build_request(server, attempt, context, &format_shards(shards), remaining);
         let fail = |reason, outcome| CallFailure { server, failure: PieceFailure { reason, outcome } };
         let response = match self.links[server].call(request, context.answer_limit).await {
             Ok(response) => response,
@@ -206,7 +212,7 @@
             }
         };
         let latency = self.clock.now().since(now);
-        let (report, answer) = self.judge(server, attempt, context, shards, &response, latency);
+        let (report, answer) = self.evaluate(server, attempt, context, shards, &response, latency);
         permit.report = Some(report);
         answer.map_err(|failure| CallFailure { server, failure })
     }
@@ -217,7 +223,7 @@
         attempt: AttemptId,
         context: &PieceContext,
         shards: &str,
-        left: Duration,
+        remaining: Duration,
     ) -> Request<Bytes> {
         let mut request = Request::new(context.body.clone());
         *request.method_mut() = Method::POST;
@@ -225,7 +231,7 @@
         let fields = request.headers_mut();
         fields.insert(headers::REQUEST, context.request_value.clone());
         fields.insert(headers::ATTEMPT, headers::unindexed_value(&attempt));
-        fields.insert(headers::DEADLINE, headers::unindexed_value(&left.as_micros()));
+        fields.insert(headers::DEADLINE, headers::unindexed_value(&remaining.as_micros()));
         if let Ok(shards) = HeaderValue::from_str(shards) {
             fields.insert(headers::SHARDS, shards);
         }
@@ -238,8 +244,9 @@
         request
     }
 
-    /// Learns from an answer and says whether it may be folded.
-    fn judge(
+    /// Records what a response reports about its server, and returns the result of the call and its answer if it may be
+    /// merged.
+    fn evaluate(
         &self,
         server: usize,
         attempt: AttemptId,
@@ -254,7 +261,7 @@
             stats::count_foreign();
             return (CallReport::Failed, fail(MissingReason::BadAnswer, AttemptOutcome::Unknown));
         }
-        self.learn(server, &context.index, fields);
+        self.record_state(server, &context.index, fields);
         let refused = fields.get(headers::RAN).is_some_and(|ran| ran.as_bytes() == b"not_run");
         let outcome = if refused { AttemptOutcome::Refused } else { AttemptOutcome::Unknown };
         match response.status() {
@@ -271,7 +278,7 @@
         }
     }
 
-    fn learn(&self, server: usize, index: &IndexName, fields: &HeaderMap) {
+    fn record_state(&self, server: usize, index: &IndexName, fields: &HeaderMap) {
         let now = self.clock.now();
         let mut queue = self.lock();
         let state = queue.server_mut(server);
@@ -290,15 +297,15 @@
     }
 }
 
-/// Takes waiting work out of the queue when nobody waits for it any more.
+/// Removes work from the queue when its future is dropped.
 struct WaitGuard<'a> {
     pool: &'a Arc<UpstreamPool>,
-    number: WaitId,
+    id: WaitId,
 }
 
 impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        self.pool.lock().cancel(self.number);
+        self.pool.lock().cancel(self.id);
     }
 }
 
@@ -307,7 +314,7 @@
     failure: PieceFailure,
 }
 
-/// The attempts of one piece of work.
+/// The attempts of one piece.
 struct PieceRun<'a> {
     pool: &'a Arc<UpstreamPool>,
     context: &'a PieceContext,
@@ -328,14 +335,14 @@
     async fn run(&self) -> Result<PieceAnswer, PieceFailure> {
         let mut avoid = None;
         loop {
-            let asked = self.pool.clock.now();
+            let queued_at = self.pool.clock.now();
             let acquired = self.pool.acquire(self.item(avoid), avoid.is_some()).await;
-            let bound = self.pool.clock.now();
-            self.progress.lock().waited += bound.since(asked);
+            let acquired_at = self.pool.clock.now();
+            self.progress.lock().waited += acquired_at.since(queued_at);
             let outcome = self.progress.outcome();
             let permit = acquired.map_err(|reason| PieceFailure { reason, outcome })?;
             let result = self.attempt_with_hedge(permit).await;
-            self.progress.lock().served += self.pool.clock.now().since(bound);
+            self.progress.lock().served += self.pool.clock.now().since(acquired_at);
             let failed = match result {
                 Ok(answer) => return Ok(answer),
                 Err(failed) => failed,
@@ -354,13 +361,13 @@
         if !self.context.repeatable && !outcome.is_not_run() {
             return false;
         }
-        let left = self.context.deadline.since(self.pool.clock.now());
-        let allowed = self.pool.lock().may_retry(outcome, left, self.progress.calls());
+        let remaining = self.context.deadline.since(self.pool.clock.now());
+        let allowed = self.pool.lock().may_retry(outcome, remaining, self.progress.calls());
         stats::count_retry(allowed);
         allowed
     }
 
-    /// One attempt, and a hedge if it is slow and the request may be repeated.
+    /// Makes one attempt, and a hedge to another server if the attempt is slow and the request is repeatable.
     async fn attempt_with_hedge(&self, permit: SlotPermit) -> Result<PieceAnswer, CallFailure> {
         let first_server = permit.server;
         self.progress.count_call();
@@ -388,12 +395,11 @@
         }
     }
 
-    /// The one attempt of a request that is not repeatable. Cut short while it runs, its
-    /// outcome is unknown.
+    /// Makes one attempt of a non-repeatable request. If it is cancelled while it runs, its outcome is unknown.
     async fn attempt_once(&self, permit: SlotPermit) -> Result<PieceAnswer, CallFailure> {
-        let before = self.progress.replace_outcome(AttemptOutcome::Unknown);
+        let previous = self.progress.replace_outcome(AttemptOutcome::Unknown);
         let result = self.pool.call(permit, self.context, self.shards).await;
-        self.progress.replace_outcome(before);
+        self.progress.replace_outcome(previous);
         result
     }
 
--- a/crates/daemon/src/query.rs
+++ b/crates/daemon/src/query.rs
@@ -1,4 +1,5 @@
-//! One query at its entry node: pin, plan, send to owners, fold, answer.
+//! A query at its entry node: pins it to an index version, sends its pieces to their owners (scatter) and merges the
+//! replies (gather).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,61 +17,61 @@
 use crate::stats;
 use crate::view::ClusterView;
 
-/// How often a query may start again at a newer index version.
+/// Maximum number of rounds of a query; each new one is at a newer index version.
 const MAX_ROUNDS: u32 = 6;
-/// Pause before versions are asked for again when no server told any.
-const UNPINNED_DELAY: Duration = Duration::from_millis(20);
+/// Delay before the owners are asked for index versions again, if no server has reported any.
+const VERSION_POLL_DELAY: Duration = Duration::from_millis(20);
 
-/// A query that was let in.
+/// A query with everything that its execution needs.
 pub struct QueryJob {
-    /// Its id.
+    /// Id of the request.
     pub request: RequestId,
-    /// The index.
+    /// The index's configuration.
     pub index: Arc<IndexSpec>,
-    /// The body, passed on unread.
+    /// The body, forwarded as it is.
     pub body: Bytes,
-    /// The shards wanted; all without it.
-    pub wanted: Option<Vec<ShardId>>,
-    /// When it came in.
+    /// The requested shards; `None` for all.
+    pub shards: Option<Vec<ShardId>>,
+    /// When the request arrived.
     pub started: Moment,
-    /// When it must be answered.
+    /// When the answer is due.
     pub deadline: Moment,
-    /// When it may be answered.
+    /// The rule that decides when the query is answered with the results so far.
     pub rule: FinishRule,
 }
 
-/// Why a query has no answer at all. None of its attempts ran.
+/// Why a query has no answer. None of its attempts ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueryFailure {
-    /// A wanted shard is not in the layout.
+    /// A requested shard is not in the layout of this many shards.
     NoSuchShard(ShardId, usize),
-    /// No server told which index versions it holds.
+    /// No server has reported its index versions.
     NoVersion,
 }
 
-/// Runs a query to its answer.
+/// Runs a query and returns its answer.
 ///
 /// # Errors
-/// No answer of any coverage can be given.
+/// A requested shard does not exist, or no index version is known until the deadline.
 pub async fn run(
     node: &Arc<Node>,
     view: &Arc<ClusterView>,
-    ask: &QueryJob,
+    job: &QueryJob,
     work: &mut WorkReport,
 ) -> Result<QueryAnswer, QueryFailure> {
     let config = view.config.as_ref().ok_or(QueryFailure::NoVersion)?;
-    for round in 1..=MAX_ROUNDS {
-        let Some((version, layout)) = pin(view, ask) else {
-            query_versions(node, view, ask, ask.index.newest_layout()).await?;
+    for attempt in 1..=MAX_ROUNDS {
+        let Some((version, layout)) = pin(view, job) else {
+            query_versions(node, view, job, job.index.newest_layout()).await?;
             continue;
         };
-        let may_restart = round < MAX_ROUNDS;
-        let mut query = QueryRound::new(node, view, config, ask, Some(version), layout)?;
-        let end = query.run(may_restart).await;
-        work.waited += query.work.waited;
-        work.served += query.work.served;
-        match end {
-            RoundOutcome::Answer(fold) => return Ok(answer(node, config, ask, version, fold)),
+        let may_restart = attempt < MAX_ROUNDS;
+        let mut round = QueryRound::new(node, view, config, job, Some(version), layout)?;
+        let outcome = round.run(may_restart).await;
+        work.waited += round.work.waited;
+        work.served += round.work.served;
+        match outcome {
+            RoundOutcome::Answer(merger) => return Ok(answer(node, config, job, version, merger)),
             RoundOutcome::Restart => stats::count_restart(),
         }
     }
@@ -80,14 +81,14 @@
 fn answer(
     node: &Node,
     config: &Configuration,
-    ask: &QueryJob,
+    job: &QueryJob,
     version: IndexVersion,
-    fold: AnswerMerger,
+    merger: AnswerMerger,
 ) -> QueryAnswer {
-    let (coverage, results) = fold.finish();
+    let (coverage, results) = merger.finish();
     stats::count_shards(coverage.shards, coverage.answered);
     QueryAnswer {
-        request: ask.request,
+        request: job.request,
         index_version: version,
         config_version: config.version,
         config_age_ms: node.keeper.age_ms(),
@@ -96,15 +97,16 @@
     }
 }
 
-/// The version to run at and its layout: the newest layout whose upstreams are believed to
-/// have reached it.
-pub fn pin<'a>(view: &ClusterView, ask: &'a QueryJob) -> Option<(IndexVersion, &'a ShardLayout)> {
+/// Chooses the index version that a query is pinned to, and its layout: the newest layout whose upstreams have reported
+/// a version of it.
+pub fn pin<'a>(view: &ClusterView, job: &'a QueryJob) -> Option<(IndexVersion, &'a ShardLayout)> {
     let mut cap = IndexVersion(u64::MAX);
-    for layout in ask.index.layouts.iter().rev() {
-        let holders = wanted_shards(ask, layout).filter_map(|shard| layout.shards.get(shard.0 as usize));
-        let mut upstreams: Vec<UpstreamIndex> = holders.flat_map(|holders| holders.iter().copied()).collect();
+    for layout in job.index.layouts.iter().rev() {
+        let upstream_lists = wanted_shards(job, layout).filter_map(|shard| layout.shards.get(shard.0 as usize));
+        let mut upstreams: Vec<UpstreamIndex> =
+            upstream_lists.flat_map(|upstream_list| upstream_list.iter().copied()).collect();
         upstreams.dedup();
-        let versions = upstreams.iter().filter_map(|upstream| view.versions.get(&ask.index.name, *upstream));
+        let versions = upstreams.iter().filter_map(|upstream| view.versions.get(&job.index.name, *upstream));
         let held: Vec<_> = versions.collect();
         if let Some(version) = choose_version(&held, cap)
             && version >= layout.first_version
@@ -116,29 +118,29 @@
     None
 }
 
-/// The shards a query wants of a layout.
-pub fn wanted_shards<'a>(ask: &'a QueryJob, layout: &'a ShardLayout) -> Box<dyn Iterator<Item = ShardId> + 'a> {
-    match &ask.wanted {
-        Some(wanted) => Box::new(wanted.iter().copied()),
+/// The shards of a layout that a query requests.
+pub fn wanted_shards<'a>(job: &'a QueryJob, layout: &'a ShardLayout) -> Box<dyn Iterator<Item = ShardId> + 'a> {
+    match &job.shards {
+        Some(shards) => Box::new(shards.iter().copied()),
         None => Box::new((0..layout.shards.len() as u32).map(ShardId)),
     }
 }
 
-/// Asks the owners which versions their servers hold, until some are known.
+/// Asks the owners which index versions their servers hold, until a version can be pinned or the deadline passes.
 async fn query_versions(
     node: &Arc<Node>,
     view: &Arc<ClusterView>,
-    ask: &QueryJob,
+    job: &QueryJob,
     layout: &ShardLayout,
 ) -> Result<(), QueryFailure> {
     let config = view.config.as_ref().ok_or(QueryFailure::NoVersion)?;
-    while node.clock.now() < ask.deadline {
-        let mut query = QueryRound::new(node, view, config, ask, None, layout)?;
-        query.run(false).await;
-        if pin(view, ask).is_some() {
+    while node.clock.now() < job.deadline {
+        let mut round = QueryRound::new(node, view, config, job, None, layout)?;
+        round.run(false).await;
+        if pin(view, job).is_some() {
             return Ok(());
         }
-        tokio::time::sleep(UNPINNED_DELAY).await;
+        tokio::time::sleep(VERSION_POLL_DELAY).await;
     }
     Err(QueryFailure::NoVersion)
 }
--- a/crates/daemon/src/round.rs
+++ b/crates/daemon/src/round.rs
@@ -1,4 +1,5 @@
-//! One round of a query at one index version: plan pieces, send them to owners, fold.
+//! One round of a query at one index version: groups the shards into pieces, sends the pieces to their owners and merges
+//! the replies. Lost pieces are rerouted, and pieces of an unresponsive owner are hedged to another owner.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,89 +20,91 @@
 use crate::view::{ClusterView, WorkTarget};
 use crate::wire::{BatchRequest, PATH_BATCH, PieceReply, PieceRequest};
 
-/// How often one piece is sent to another owner or upstream.
-const MAX_SENDS: u32 = 3;
-/// Replies that may wait to be folded.
+/// Maximum number of times that a piece is rerouted to another owner or upstream.
+const MAX_REROUTES: u32 = 3;
+/// Capacity of the channel of replies that are not merged yet.
 const REPLY_BUFFER: usize = 256;
 
-/// The shards of a query that go to the same upstreams.
+/// The shards of a query that the same upstreams hold.
 struct QueryPiece {
-    holders: Arc<[UpstreamIndex]>,
+    /// The upstreams that hold the shards, the preferred one first.
+    replicas: Arc<[UpstreamIndex]>,
     shards: Vec<ShardId>,
-    holder: usize,
+    /// Position of the current upstream in `replicas`.
+    replica: usize,
+    /// Number of the current owner of that upstream, as in [`ClusterView::owner`].
     owner: usize,
-    sends: u32,
-    /// Sends whose reply is still to come.
-    open: u32,
-    sent: Moment,
+    reroutes: u32,
+    /// The number of sends without a reply.
+    pending: u32,
+    sent_at: Moment,
     is_answered: bool,
 }
 
 impl QueryPiece {
     fn upstream(&self) -> UpstreamIndex {
-        self.holders[self.holder]
+        self.replicas[self.replica]
     }
 }
 
-/// What a sender task tells the fold.
+/// What a sender task reports to the round.
 enum PieceEvent {
     Reply(PieceReply),
-    /// The owner could not be reached, or its stream broke.
+    /// The owner of the piece is unreachable, or its stream failed.
     Lost(u32),
 }
 
 /// How a round ended.
 pub enum RoundOutcome {
-    /// With what was folded.
+    /// The query is answered with the merged results.
     Answer(AnswerMerger),
-    /// The version is gone; a newer one serves the caller better.
+    /// Servers no longer hold the version; the query restarts at a newer one.
     Restart,
 }
 
-/// One try of a query at one index version.
+/// One round of a query at one index version.
 pub struct QueryRound<'a> {
     node: &'a Arc<Node>,
     view: &'a Arc<ClusterView>,
     config: &'a Arc<Configuration>,
-    ask: &'a QueryJob,
+    job: &'a QueryJob,
     version: Option<IndexVersion>,
     pieces: Vec<QueryPiece>,
-    fold: AnswerMerger,
+    merger: AnswerMerger,
     running: JoinSet<()>,
     events: (mpsc::Sender<PieceEvent>, mpsc::Receiver<PieceEvent>),
     calls: u64,
-    /// When owners that have not replied are taken to be silent; none after that, or before
-    /// it is known how long they take.
+    /// When pieces of unresponsive owners are hedged. `None` after that, or while there are too few latency samples.
     owner_hedge_at: Option<Moment>,
-    /// How the work of its pieces went.
+    /// Times of the work of its pieces.
     pub work: WorkReport,
 }
 
 impl<'a> QueryRound<'a> {
-    /// Plans a round; without a version it only asks what is held.
+    /// Plans a round. Without a version the owners only report which versions their servers hold.
     ///
     /// # Errors
-    /// A wanted shard is not in the layout.
+    /// A requested shard is not in the layout.
     pub fn new(
         node: &'a Arc<Node>,
         view: &'a Arc<ClusterView>,
         config: &'a Arc<Configuration>,
-        ask: &'a QueryJob,
+        job: &'a QueryJob,
         version: Option<IndexVersion>,
         layout: &ShardLayout,
     ) -> Result<Self, QueryFailure> {
-        let shards: Vec<ShardId> = wanted_shards(ask, layout).collect();
+        let shards: Vec<ShardId> = wanted_shards(job, layout).collect();
         let pieces = plan(config, &node.settings.domain, layout, &shards)?;
-        let fold = AnswerMerger::new(&shards);
+        let merger = AnswerMerger::new(&shards);
         let events = mpsc::channel(REPLY_BUFFER);
         Ok(Self {
             node,
             view,
             config,
-            ask,
+            job,
             version,
             pieces,
-            fold,
+            merger,
             running: JoinSet::new(),
             events,
             calls: 0,
@@ -113,10 +116,10 @@
     /// Runs the round to its end.
     pub async fn run(&mut self, may_restart: bool) -> RoundOutcome {
         let all: Vec<u32> = (0..self.pieces.len() as u32).collect();
-        let patience = self.node.owner_hedge_delay().filter(|_| self.version.is_some());
-        self.owner_hedge_at = patience.map(|patience| self.node.clock.now().plus(patience));
+        let hedge_delay = self.node.owner_hedge_delay().filter(|_| self.version.is_some());
+        self.owner_hedge_at = hedge_delay.map(|hedge_delay| self.node.clock.now().plus(hedge_delay));
         self.send(&all);
-        while !self.fold.is_done() && !self.is_enough() {
+        while !self.merger.is_done() && !self.is_enough() {
             let Some(event) = self.next_event().await else { break };
             match event {
                 Some(PieceEvent::Reply(reply)) => self.handle_reply(reply),
@@ -129,74 +132,74 @@
         }
         stats::count_calls(self.pieces.len() as u64, self.calls);
         let empty = AnswerMerger::new(&[]);
-        RoundOutcome::Answer(std::mem::replace(&mut self.fold, empty))
+        RoundOutcome::Answer(std::mem::replace(&mut self.merger, empty))
     }
 
-    /// The next event; `Some(None)` when it is time to look again, `None` at the deadline.
+    /// The next event; `Some(None)` if none arrives before the next timer, `None` at the deadline.
     async fn next_event(&mut self) -> Option<Option<PieceEvent>> {
         let now = self.node.clock.now();
-        if now >= self.ask.deadline {
+        if now >= self.job.deadline {
             return None;
         }
-        let preferred = self.ask.started.plus(self.ask.rule.prefer_within);
+        let preferred = self.job.started.plus(self.job.rule.prefer_within);
         let later = [Some(preferred), self.owner_hedge_at].into_iter().flatten().filter(|moment| *moment > now);
-        let wake = later.fold(self.ask.deadline, Moment::min);
-        let waited = tokio::time::timeout(wake.since(now), self.events.1.recv()).await;
+        let wake_at = later.fold(self.job.deadline, Moment::min);
+        let waited = tokio::time::timeout(wake_at.since(now), self.events.1.recv()).await;
         Some(waited.ok().flatten())
     }
 
-    /// Sends what a silent owner was asked for to another owner too. An owner's own hedges
-    /// cannot help while the owner itself is frozen or cut off.
+    /// Hedges the pieces of unresponsive owners to their next owners. The hedges that an owner sends to servers do not help
+    /// while the owner itself is stalled or unreachable.
     fn hedge_unresponsive(&mut self) {
         if self.owner_hedge_at.is_none_or(|owner_hedge_at| self.node.clock.now() < owner_hedge_at) {
             return;
         }
         self.owner_hedge_at = None;
         let numbers = 0..self.pieces.len() as u32;
-        let silent: Vec<u32> = numbers.filter(|number| self.may_hedge(*number)).collect();
-        for number in &silent {
+        let unresponsive: Vec<u32> = numbers.filter(|number| self.may_hedge(*number)).collect();
+        for number in &unresponsive {
             self.pieces[*number as usize].owner += 1;
             stats::count_owner_hedge();
         }
-        self.send(&silent);
+        self.send(&unresponsive);
     }
 
     fn may_hedge(&self, number: u32) -> bool {
         let piece = &self.pieces[number as usize];
         let owners = self.view.owners(piece.upstream());
-        let turn = self.ask.request.0 as usize;
-        let asked = self.view.owner(piece.upstream(), turn, piece.owner);
-        let link = asked.and_then(|target| target.link.as_ref());
-        // An owner that replies to others is busy, not silent: more load would not help it.
-        let is_silent = link.is_some_and(|link| link.has_no_reply_since(piece.sent));
-        let is_silent = is_silent && piece.open > 0 && !piece.is_answered;
-        is_silent && piece.owner + 1 < owners.len() && self.node.spend_owner_hedge()
+        let rotation = self.job.request.0 as usize;
+        let current = self.view.owner(piece.upstream(), rotation, piece.owner);
+        let link = current.and_then(|target| target.link.as_ref());
+        // An owner that replies to other requests is busy, and a hedge would only add load.
+        let is_unresponsive = link.is_some_and(|link| link.has_no_reply_since(piece.sent_at));
+        let is_unresponsive = is_unresponsive && piece.pending > 0 && !piece.is_answered;
+        is_unresponsive && piece.owner + 1 < owners.len() && self.node.spend_owner_hedge()
     }
 
     fn is_enough(&self) -> bool {
-        let elapsed = self.node.clock.now().since(self.ask.started);
-        self.version.is_some() && self.ask.rule.is_enough(elapsed, self.fold.answered(), self.fold.len())
+        let elapsed = self.node.clock.now().since(self.job.started);
+        self.version.is_some() && self.job.rule.is_enough(elapsed, self.merger.answered(), self.merger.len())
     }
 
-    /// Whether so many shards lost the version that a newer one serves the caller better.
+    /// Whether the version is gone at more shards than the caller tolerates, and a newer version can be pinned.
     fn is_restart_due(&self) -> bool {
-        let gone = self.fold.count_missing(MissingReason::VersionGone);
+        let gone = self.merger.count_missing(MissingReason::VersionGone);
         if gone == 0 {
             return false;
         }
-        let allowed = match self.ask.rule.prefer {
+        let allowed = match self.job.rule.prefer {
             CallerPreference::Coverage => 0.0,
-            CallerPreference::Latency => 1.0 - self.ask.rule.wanted_coverage,
+            CallerPreference::Latency => 1.0 - self.job.rule.wanted_coverage,
         };
-        let next = pin(self.view, self.ask).map(|(version, _)| version);
-        gone as f64 > allowed * self.fold.len() as f64 && next > self.version
+        let next = pin(self.view, self.job).map(|(version, _)| version);
+        gone as f64 > allowed * self.merger.len() as f64 && next > self.version
     }
 
     fn handle_reply(&mut self, reply: PieceReply) {
         let Some(piece) = self.pieces.get(reply.piece as usize) else { return };
         let upstream = piece.upstream();
         if let Some(held) = reply.held {
-            self.view.versions.learn(&self.ask.index.name, upstream, held);
+            self.view.versions.record(&self.job.index.name, upstream, held);
         }
         self.calls += u64::from(reply.calls);
         self.work.waited += Duration::from_micros(reply.waited_us);
@@ -207,50 +210,51 @@
         }
     }
 
-    /// Folds results; those of another version than the pinned one never get in.
+    /// Merges results. Results of another version than the pinned one are dropped.
     fn merge_results(&mut self, piece: u32, version: Option<IndexVersion>, results: Vec<(ShardId, Vec<u8>)>) {
         let state = &mut self.pieces[piece as usize];
-        state.open = state.open.saturating_sub(1);
+        state.pending = state.pending.saturating_sub(1);
         let wanted = &self.pieces[piece as usize].shards;
         if version.is_none() || version != self.version {
             stats::count_other_version();
-            return self.miss(piece, MissingReason::BadAnswer);
+            return self.mark_missing(piece, MissingReason::BadAnswer);
         }
         for (shard, result) in results {
             if wanted.binary_search(&shard).is_ok() {
-                self.fold.add(shard, result);
+                self.merger.add(shard, result);
             }
         }
         self.pieces[piece as usize].is_answered = true;
-        self.miss(piece, MissingReason::BadAnswer);
+        self.mark_missing(piece, MissingReason::BadAnswer);
     }
 
-    /// Marks what is not answered of a piece as missing.
-    fn miss(&mut self, piece: u32, reason: MissingReason) {
+    /// Marks the shards of a piece that are not answered as missing.
+    fn mark_missing(&mut self, piece: u32, reason: MissingReason) {
         for shard in &self.pieces[piece as usize].shards {
-            self.fold.mark_missing(*shard, reason);
+            self.merger.mark_missing(*shard, reason);
         }
     }
 
-    /// Sends a lost piece elsewhere if there is somewhere and time, else marks it missing.
+    /// Reroutes a lost piece if time and another owner or upstream remain; otherwise marks its shards as missing.
     fn handle_loss(&mut self, piece: u32, reason: MissingReason) {
         let state = &mut self.pieces[piece as usize];
-        state.open = state.open.saturating_sub(1);
-        if state.open > 0 || state.is_answered {
+        state.pending = state.pending.saturating_sub(1);
+        if state.pending > 0 || state.is_answered {
             return;
         }
-        let has_time = self.node.clock.now() < self.ask.deadline;
+        let has_time = self.node.clock.now() < self.job.deadline;
         if has_time && self.version.is_some() && self.reroute(piece, reason) {
             return self.send(&[piece]);
         }
-        self.miss(piece, reason);
+        self.mark_missing(piece, reason);
     }
 
-    /// Points a piece at its next owner or, where the servers are at fault, its next upstream.
+    /// Selects the next owner of a piece if its owner was lost, or else its next upstream where that can help; false if
+    /// there is none.
     fn reroute(&mut self, number: u32, reason: MissingReason) -> bool {
         let piece = &mut self.pieces[number as usize];
-        piece.sends += 1;
-        if piece.sends > MAX_SENDS {
+        piece.reroutes += 1;
+        if piece.reroutes > MAX_REROUTES {
             return false;
         }
         let owners = self.view.owners(piece.upstream()).len();
@@ -258,32 +262,33 @@
             piece.owner += 1;
             return true;
         }
-        let elsewhere = !matches!(reason, MissingReason::VersionGone | MissingReason::Late | MissingReason::Queued);
-        if elsewhere && piece.holder + 1 < piece.holders.len() {
-            piece.holder += 1;
+        let may_use_replica =
+            !matches!(reason, MissingReason::VersionGone | MissingReason::Late | MissingReason::Queued);
+        if may_use_replica && piece.replica + 1 < piece.replicas.len() {
+            piece.replica += 1;
             piece.owner = 0;
             return true;
         }
         false
     }
 
-    /// Sends pieces, one batch for each owner.
+    /// Sends pieces, in one batch per owner.
     fn send(&mut self, numbers: &[u32]) {
         let mut batches: BTreeMap<NodeId, (WorkTarget, Vec<PieceRequest>)> = BTreeMap::new();
         let mut unowned = Vec::new();
-        let turn = self.ask.request.0 as usize;
+        let rotation = self.job.request.0 as usize;
         let now = self.node.clock.now();
         for number in numbers {
             let piece = &self.pieces[*number as usize];
             let shards = piece.shards.clone();
-            let Some(target) = self.view.owner(piece.upstream(), turn, piece.owner) else {
+            let Some(target) = self.view.owner(piece.upstream(), rotation, piece.owner) else {
                 unowned.push(*number);
                 continue;
             };
             let upstream = self.config.upstream(piece.upstream()).name.clone();
             let piece = &mut self.pieces[*number as usize];
-            piece.open += 1;
-            piece.sent = now;
+            piece.pending += 1;
+            piece.sent_at = now;
             let request = PieceRequest { piece: *number, upstream, shards };
             let batch = batches.entry(target.node.clone()).or_insert_with(|| (target.clone(), Vec::new()));
             batch.1.push(request);
@@ -297,40 +302,40 @@
     }
 
     fn send_batch(&mut self, target: WorkTarget, pieces: Vec<PieceRequest>) {
-        let left = self.ask.deadline.since(self.node.clock.now());
+        let remaining = self.job.deadline.since(self.node.clock.now());
         let batch = BatchRequest {
-            request: self.ask.request,
-            remaining_us: u64::try_from(left.as_micros()).unwrap_or(u64::MAX),
-            index: self.ask.index.name.clone(),
+            request: self.job.request,
+            remaining_us: u64::try_from(remaining.as_micros()).unwrap_or(u64::MAX),
+            index: self.job.index.name.clone(),
             version: self.version,
             repeatable: true,
             key: None,
-            body: self.ask.body.to_vec(),
+            body: self.job.body.to_vec(),
             pieces,
         };
         let events = self.events.0.clone();
         let node = self.node.clone();
-        let sent = node.clock.now();
+        let sent_at = node.clock.now();
         match target.link {
             None => self.running.spawn(run_local(self.node.clone(), self.config.clone(), batch, events)),
             Some(link) => self.running.spawn(async move {
                 let numbers: Vec<u32> = batch.pieces.iter().map(|piece| piece.piece).collect();
-                let mut open = numbers;
+                let mut pending = numbers;
                 if let Ok(mut reader) = link.stream(PATH_BATCH, &batch).await {
                     while let Ok(Some(reply)) = reader.next::<PieceReply>().await {
-                        if !remove_pending(&mut open, reply.piece) {
-                            // Such an owner is not to be believed; what is open counts as lost.
+                        if !remove_pending(&mut pending, reply.piece) {
+                            // The owner replied twice or to a piece that was not sent. Its remaining pieces count as lost.
                             stats::count_bad_peer();
                             break;
                         }
                         let now = node.clock.now();
-                        node.record_owner_reply(now.since(sent));
+                        node.record_owner_reply(now.since(sent_at));
                         link.record_reply(now);
-                        // The round ends only together with this task.
+                        // The round aborts this task when it is dropped, so the receiver exists.
                         let _ = events.send(PieceEvent::Reply(reply)).await;
                     }
                 }
-                for number in open {
+                for number in pending {
                     let _ = events.send(PieceEvent::Lost(number)).await;
                 }
             }),
@@ -338,11 +343,11 @@
     }
 }
 
-/// Takes a piece off a batch's open ones; false for one that is not open: it was replied to
-/// before, or belongs to another batch.
-pub fn remove_pending(open: &mut Vec<u32>, piece: u32) -> bool {
-    let position = open.iter().position(|number| *number == piece);
-    position.map(|position| open.swap_remove(position)).is_some()
+/// Removes a piece from the pending ones of a batch; false if it is not pending, because it had a reply before or is of
+/// another batch.
+pub fn remove_pending(pending: &mut Vec<u32>, piece: u32) -> bool {
+    let position = pending.iter().position(|number| *number == piece);
+    position.map(|position| pending.swap_remove(position)).is_some()
 }
 
 async fn run_local(node: Arc<Node>, config: Arc<Configuration>, batch: BatchRequest, events: mpsc::Sender<PieceEvent>) {
@@ -351,14 +356,14 @@
     let run = node.pools.run_batch(&config, owners, batch, sender);
     let forward = async {
         while let Some(reply) = replies.recv().await {
-            // The round ends only together with this task.
+            // The round aborts this task when it is dropped, so the receiver exists.
             let _ = events.send(PieceEvent::Reply(reply)).await;
         }
     };
     tokio::join!(run, forward);
 }
 
-/// Groups the wanted shards by the upstreams that hold them; the own domain's upstream first.
+/// Groups the requested shards by the upstreams that hold them. The upstream in the own failure domain comes first.
 fn plan(
     config: &Configuration,
     domain: &FailureDomain,
@@ -366,22 +371,22 @@
     shards: &[ShardId],
 ) -> Result<Vec<QueryPiece>, QueryFailure> {
     let mut pieces: Vec<QueryPiece> = Vec::new();
-    let mut by_holders: BTreeMap<&[UpstreamIndex], usize> = BTreeMap::new();
+    let mut by_replicas: BTreeMap<&[UpstreamIndex], usize> = BTreeMap::new();
     for shard in shards {
-        let holders = layout.shards.get(shard.0 as usize);
-        let holders = holders.ok_or(QueryFailure::NoSuchShard(*shard, layout.shards.len()))?;
-        let position = *by_holders.entry(holders).or_insert_with(|| {
-            let mut ordered = holders.to_vec();
+        let replicas = layout.shards.get(shard.0 as usize);
+        let replicas = replicas.ok_or(QueryFailure::NoSuchShard(*shard, layout.shards.len()))?;
+        let position = *by_replicas.entry(replicas).or_insert_with(|| {
+            let mut ordered = replicas.to_vec();
             ordered.sort_by_key(|upstream| config.upstream(*upstream).domain != *domain);
-            let holders: Arc<[UpstreamIndex]> = ordered.into();
+            let replicas: Arc<[UpstreamIndex]> = ordered.into();
             pieces.push(QueryPiece {
-                holders,
+                replicas,
                 shards: Vec::new(),
-                holder: 0,
+                replica: 0,
                 owner: 0,
-                sends: 0,
-                open: 0,
-                sent: Moment::default(),
+                reroutes: 0,
+                pending: 0,
+                sent_at: Moment::default(),
                 is_answered: false,
             });
             pieces.len() - 1
--- a/crates/daemon/src/route_node.rs
+++ b/crates/daemon/src/route_node.rs
@@ -1,5 +1,5 @@
-//! A node that routes requests on the users' platform: its settings, and the platform's
-//! adapter put behind the router's borders.
+//! A node that routes requests on the users' platform: reads its settings, follows their changes, and connects the
+//! platform's adapters to the router's interfaces.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -14,16 +14,16 @@
 use crate::metrics_text;
 use crate::settings::{self, DaemonArgs};
 
-/// How often the settings file is looked at without a signal.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
-/// The longest `caller_way` that is accepted: no network path takes longer. A longer one is a mistake in the settings,
-/// and requests would be given up as soon as they are read.
+/// Time between two checks of the settings file without a signal.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
+/// Maximum of the setting `caller_way` (one-way network delay to callers). No network path takes longer, so a higher
+/// value is a mistake, with which requests would be cancelled as soon as they are read.
 const MAX_CALLER_DELAY: Duration = Duration::from_secs(1);
 
 /// Reads and checks the settings that the arguments name.
 ///
 /// # Errors
-/// The file cannot be read or parsed, or every problem found in its values.
+/// The file cannot be read or parsed, or its values are invalid; the error lists every problem.
 pub fn load(args: &DaemonArgs) -> Result<RouterSettings, StartError> {
     let (name, text) = settings::read_file(args)?;
     parse(&name, &text).map_err(StartError::BadSettings)
@@ -32,7 +32,7 @@
 /// Parses and checks settings from the text of a file.
 ///
 /// # Errors
-/// The first problem of syntax, or every problem found in the values.
+/// The first syntax error, or every invalid value.
 pub fn parse(name: &str, text: &str) -> Result<RouterSettings, Vec<SettingError>> {
     let parsed: Result<RouterSettings, _> = serde_saphyr::from_str(text);
     let settings = parsed.map_err(|error| vec![settings::syntax_error(name, &error)])?;
@@ -55,24 +55,24 @@
         check_range("cold_calls.excess", cold.excess, cold.excess >= 0.0, "0 or more");
         check_range("cold_calls.allowance", cold.allowance, cold.allowance >= 0.0, "0 or more");
     }
-    let turns_allowed = !settings.return_turns || settings.scheduling.by_team;
+    let is_valid_return_turns = !settings.return_turns || settings.scheduling.by_team;
     check_range(
         "return_turns",
         f64::from(u8::from(settings.return_turns)),
-        turns_allowed,
+        is_valid_return_turns,
         "off without scheduling.by_team",
     );
-    if let Some(way) = settings.caller_way {
-        check_range("caller_way", way.0.as_secs_f64(), way.0 <= MAX_CALLER_DELAY, "1s at most");
+    if let Some(delay) = settings.caller_way {
+        check_range("caller_way", delay.0.as_secs_f64(), delay.0 <= MAX_CALLER_DELAY, "1s at most");
     }
-    let spans = [
+    let durations = [
         ("extra_calls.window", extra.window),
         ("gone_after", settings.gone_after),
         ("silence_within", settings.silence_within),
     ];
-    let evacuated_within = settings.evacuated_within.map(|span| ("evacuated_within", span));
-    for (name, span) in spans.into_iter().chain(evacuated_within) {
-        check_range(name, span.0.as_secs_f64(), !span.0.is_zero(), "longer than 0s");
+    let evacuated_within = settings.evacuated_within.map(|duration| ("evacuated_within", duration));
+    for (name, duration) in durations.into_iter().chain(evacuated_within) {
+        check_range(name, duration.0.as_secs_f64(), !duration.0.is_zero(), "longer than 0s");
     }
     let ports = [
         ("callers", settings.callers),
@@ -87,7 +87,7 @@
     problems
 }
 
-/// Starts a router on the platform.
+/// Starts a router on the users' platform.
 ///
 /// # Errors
 /// A port cannot be opened.
@@ -97,28 +97,30 @@
     running.map_err(StartError::Router)
 }
 
-/// Keeps SIGHUP from ending the process from now on: an operator may tell a node to read its settings while it starts. A
-/// hangup is not missed so: the settings are read after this, and a file that changes later is found by looking.
+/// Ignores SIGHUP from now on. By default it ends the process, and an operator may send it to reload the settings while
+/// the node starts. No change is missed: the settings are read after this call, and later changes of the file are found by
+/// the periodic check.
 ///
 /// # Errors
-/// The system refuses.
+/// The handler cannot be installed.
 pub fn ignore_hangups() -> std::io::Result<()> {
-    // No runtime is built for it, which takes longer than all that comes before.
+    // This needs no async runtime, whose start would delay the handler.
     signal_hook::flag::register(SIGHUP, Arc::new(AtomicBool::new(false))).map(drop)
 }
 
-/// The settings file as it was before the node started by it, so that a change since then is found.
+/// The name and text of the settings file when it was last read, to detect changes. It is first read before the settings
+/// are loaded, so that a change during the start is found.
 #[derive(PartialEq, Eq)]
 pub struct SettingsFile(Option<(String, String)>);
 
 impl SettingsFile {
-    /// Reads it; one that cannot be read differs from any that can.
+    /// Reads the file. An unreadable file differs from any readable one.
     pub fn read(args: &DaemonArgs) -> Self {
         Self(settings::read_file(args).ok())
     }
 }
 
-/// Takes SIGHUP from now on as a word to read the settings.
+/// Installs the handler of SIGHUP, which requests a reload of the settings.
 pub fn listen_for_hangups() -> Option<Signal> {
     match signal(SignalKind::hangup()) {
         Ok(hangups) => Some(hangups),
@@ -129,21 +131,20 @@
     }
 }
 
-/// Takes settings that changed while the node runs, on SIGHUP or found by looking. Settings
-/// that cannot be read change nothing.
+/// Reloads the settings while the node runs, on SIGHUP or after a change of the file. Invalid settings change nothing.
 pub async fn follow_settings(
     args: DaemonArgs,
-    mut known: SettingsFile,
+    mut last_read: SettingsFile,
     router: Arc<Router>,
     mut hangups: Option<Signal>,
 ) {
     loop {
-        let is_reported = wait_for_check(&mut hangups).await;
+        let is_signalled = wait_for_check(&mut hangups).await;
         let found = SettingsFile::read(&args);
-        if !is_reported && found == known {
+        if !is_signalled && found == last_read {
             continue;
         }
-        known = found;
+        last_read = found;
         match load(&args) {
             Ok(settings) => router.reload(settings),
             Err(error) => tracing::error!(event = "settings_not_reloaded", %error),
@@ -151,14 +152,14 @@
     }
 }
 
-/// Waits for the next look at the settings; whether a signal asked for it.
+/// Waits for the next check of the settings; true if a signal requested it.
 async fn wait_for_check(hangups: &mut Option<Signal>) -> bool {
     let Some(hangups) = hangups else {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         return false;
     };
     tokio::select! {
         _ = hangups.recv() => true,
-        () = tokio::time::sleep(LOOK_EVERY) => false,
+        () = tokio::time::sleep(CHECK_INTERVAL) => false,
     }
 }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,5 +1,4 @@
-//! Settings of one process: a small YAML file, overridden by flags. Each setting is read by
-//! one small function, and all problems are told at once.
+//! Settings of one process, from a YAML file and from flags, which override it. All problems are reported at once.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -23,14 +22,14 @@
 const DEFAULT_TICKET_LIFE: Duration = Duration::from_secs(600);
 const DEFAULT_CONNECTIONS: u32 = 10_000;
 
-/// Which rules make attempts; `baseline` is for experiments.
+/// The policy for attempts at servers; `baseline` is for experiments.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PolicyChoice {
-    /// The rules of the product.
+    /// The rules for production: concurrency limits, failure backoff, and budgets for retries and hedges.
     #[default]
     Adaptive,
-    /// A plain client: random server, one retry, no hedge, no limits.
+    /// A plain client: random server, one retry, no hedges, no limits.
     Baseline,
 }
 
@@ -38,25 +37,25 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ServeMode {
-    /// Queries and orders on the indexes of its own configuration.
+    /// Queries and orders on the indexes of the configuration in the store.
     #[default]
     Indexes,
-    /// Requests by the routes of the users' platform.
+    /// Requests according to the routes of the users' platform.
     Routes,
 }
 
-/// The one setting that says how the others are read.
+/// The setting that selects how the other settings are read.
 #[derive(Debug, Default, Deserialize)]
 struct ModeFile {
     #[serde(default)]
     serve: ServeMode,
 }
 
-/// The settings as the file has them.
+/// The settings file, before the checks.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct SettingsFile {
-    /// Read before, by [`read_mode`].
+    /// Read separately, by [`read_mode`].
     #[serde(rename = "serve")]
     _serve: ServeMode,
     node: Option<NodeId>,
@@ -105,13 +104,13 @@
     /// Listen for other nodes here.
     #[bpaf(argument("IP:PORT"))]
     pub peers: Option<SocketAddr>,
-    /// Tell other nodes this address in place of the peers' port's own.
+    /// Announce this address to other nodes in place of that of the peers' port.
     #[bpaf(argument("IP:PORT"))]
     pub advertise: Option<SocketAddr>,
-    /// Where the platform's store and VM list are.
+    /// Address of the platform's store and VM list.
     #[bpaf(argument("IP:PORT"))]
     pub platform: Option<SocketAddr>,
-    /// The peers' port of another node to begin with; may be repeated.
+    /// Address of another node's peers' port, for joining the cluster; may be repeated.
     #[bpaf(long("seed"), argument("IP:PORT"))]
     pub seeds: Vec<SocketAddr>,
     /// Log filter, such as `info` or `streamfold_daemon=debug`.
@@ -121,52 +120,52 @@
     pub check: bool,
 }
 
-/// Checked settings of one node.
+/// Validated settings of one node.
 #[derive(Debug, Clone)]
 pub struct NodeSettings {
-    /// This node's name.
+    /// Name of the node.
     pub node: NodeId,
-    /// Its failure domain.
+    /// Failure domain of the node.
     pub domain: FailureDomain,
-    /// Where callers connect.
+    /// Address to listen on for callers.
     pub callers: SocketAddr,
-    /// Where operators connect.
+    /// Address to listen on for operators.
     pub operators: SocketAddr,
-    /// Where other nodes connect.
+    /// Address to listen on for other nodes.
     pub peers: SocketAddr,
-    /// The peers' address told to others, if not `peers`.
+    /// Address for other nodes that this node announces, if it is not that of the peers' port.
     pub advertise: Option<SocketAddr>,
-    /// The platform.
+    /// Address of the platform.
     pub platform: SocketAddr,
-    /// Peers' ports to begin with.
+    /// Addresses of other nodes' peers' ports, for joining the cluster.
     pub seeds: Vec<SocketAddr>,
-    /// Owners of each upstream, at most the live nodes of its domain.
+    /// Number of owners of each upstream; fewer if its failure domain has fewer live nodes.
     pub owners: usize,
     /// Time between heartbeats.
     pub heartbeat: Duration,
-    /// The largest body a caller may send.
+    /// Maximum size of a caller's request body.
     pub body_limit: ByteSize,
-    /// The largest answer taken from a server.
+    /// Maximum size of a server's answer.
     pub answer_limit: ByteSize,
-    /// How long a stopping node still takes work while balancers notice.
+    /// How long a stopping node still accepts work, until load balancers have noticed that it is leaving.
     pub lame_duck: Duration,
-    /// How long a stopping node waits for work in flight.
+    /// How long a stopping node waits for work in flight to finish.
     pub grace: Duration,
-    /// Claims of callers' own keys a second, at most.
+    /// Maximum number of claims of callers' own keys per second.
     pub claim_rate: f64,
-    /// How long a ticket may be used and its outcome is remembered.
+    /// How long a ticket is valid and its outcome is remembered.
     pub ticket_life: Duration,
-    /// Callers' connections, at most.
+    /// Maximum number of callers' connections.
     pub connections: usize,
-    /// Which rules make attempts.
+    /// The policy for attempts at servers.
     pub policy: PolicyChoice,
-    /// Which rule decides on hedges.
+    /// The rule that decides on hedges.
     pub hedging: HedgeChoice,
     /// Log filter.
     pub log: String,
 }
 
-/// The name and text of the settings file; without one, the flags are all there is.
+/// Reads the name and the text of the settings file; the text is empty if the arguments name no file.
 ///
 /// # Errors
 /// The file cannot be read.
@@ -177,8 +176,8 @@
     }
 }
 
-/// Reads what the node is to serve. A file that cannot be parsed counts as one for indexes,
-/// whose reader tells every problem.
+/// Reads what the node serves. An invalid file counts as one for indexes, since the reader of those settings reports every
+/// problem.
 ///
 /// # Errors
 /// The file cannot be read.
@@ -191,7 +190,7 @@
 /// Reads and checks the settings that the arguments name.
 ///
 /// # Errors
-/// The file cannot be read, or every problem found in it and in the flags.
+/// The file cannot be read, or the settings are invalid; the error lists every problem in the file and the flags.
 pub fn load(args: &DaemonArgs) -> Result<NodeSettings, StartError> {
     let (name, text) = read_file(args)?;
     parse(&name, &text, args).map_err(StartError::BadSettings)
@@ -204,7 +203,7 @@
 /// Parses and checks settings from the text of a file and from flags.
 ///
 /// # Errors
-/// Every problem found.
+/// Every problem in the file and the flags.
 pub fn parse(name: &str, text: &str, args: &DaemonArgs) -> Result<NodeSettings, Vec<SettingError>> {
     let file: SettingsFile = match text.trim().is_empty() {
         true => SettingsFile::default(),
@@ -218,7 +217,7 @@
     }
 }
 
-/// A problem of syntax with its line.
+/// The error for invalid syntax, with its line.
 pub fn syntax_error(name: &str, error: &serde_saphyr::Error) -> SettingError {
     let line = error.location().map_or(0, |location| location.line());
     let problem = SettingProblem::Syntax(error.without_snippet().to_string());
@@ -231,20 +230,20 @@
 }
 
 impl SettingsReader<'_> {
-    fn fail(&mut self, line: u64, problem: SettingProblem) {
+    fn push_error(&mut self, line: u64, problem: SettingProblem) {
         self.errors.push(SettingError { file: self.name.to_owned(), line, problem });
     }
 
-    /// A flag's value, else the file's; a problem if there is neither.
+    /// The value of a required setting, from the flag or else the file. Reports a problem if both are missing.
     fn required<T: Clone>(&mut self, name: &'static str, flag: Option<&T>, file: Option<T>) -> Option<T> {
         let value = flag.cloned().or(file);
         if value.is_none() {
-            self.fail(0, SettingProblem::Missing(name, name.replace('_', "-")));
+            self.push_error(0, SettingProblem::Missing(name, name.replace('_', "-")));
         }
         value
     }
 
-    /// A value from the file within a range, else the default.
+    /// The value of a setting from the file, or the default. Reports a problem if it is out of range.
     fn ranged<T: Copy + PartialOrd + ToString>(
         &mut self,
         name: &'static str,
@@ -256,7 +255,7 @@
         let Some(entry) = file else { return default };
         if !allowed.contains(&entry.value) {
             let found = entry.value.to_string();
-            self.fail(entry.referenced.line(), SettingProblem::OutOfRange { name, found, range });
+            self.push_error(entry.referenced.line(), SettingProblem::OutOfRange { name, found, range });
         }
         entry.value
     }
@@ -267,7 +266,7 @@
             if let (Some((other, _)), Some(address)) = (same, address)
                 && address.port() != 0
             {
-                self.fail(0, SettingProblem::SameAddress(other, name, *address));
+                self.push_error(0, SettingProblem::SameAddress(other, name, *address));
             }
         }
     }
@@ -280,8 +279,9 @@
         let peers = self.required("peers", args.peers.as_ref(), file.peers);
         let platform = self.required("platform", args.platform.as_ref(), file.platform);
         self.check_ports(&[("callers", callers), ("operators", operators), ("peers", peers)]);
-        let beats = TimeSpan::from_millis(20)..=TimeSpan::from_millis(10_000);
-        let heartbeat = self.ranged("heartbeat", file.heartbeat, TimeSpan(DEFAULT_HEARTBEAT), beats, "20ms to 10s");
+        let heartbeat_range = TimeSpan::from_millis(20)..=TimeSpan::from_millis(10_000);
+        let heartbeat =
+            self.ranged("heartbeat", file.heartbeat, TimeSpan(DEFAULT_HEARTBEAT), heartbeat_range, "20ms to 10s");
         let owners = self.ranged("owners", file.owners, DEFAULT_OWNERS, 1..=64, "1 to 64");
         let claim_rate = self.ranged("claim_rate", file.claim_rate, DEFAULT_CLAIM_RATE, 0.0..=1000.0, "0 to 1000");
         let connections =
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop of a node: nothing in flight is cut off, and its tickets go on elsewhere.
+//! Graceful stop of a node: work in flight is finished, and its tickets are handed over to another node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,28 +13,28 @@
 use crate::node_start::RunningNode;
 use crate::wire::{AdoptReply, AdoptRequest, PATH_ADOPT};
 
-/// How long handing over tickets to one node may take.
+/// Timeout of the handover of tickets to one node.
 const ADOPT_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long telling the others of the end may take.
+/// Timeout for announcing the stop to the other nodes.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How far a planned stop has come.
+/// The phase of a graceful stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopPhase {
-    /// No stop.
+    /// The node is not stopping.
     Serving,
-    /// It says that it is leaving and still takes work.
+    /// The node announces that it is leaving and still accepts work.
     LameDuck,
-    /// It refuses new work and finishes what it has.
+    /// The node refuses new work and finishes the work in flight.
     Refusing,
-    /// It is over.
+    /// The node has stopped.
     Ended,
 }
 
 impl RunningNode {
-    /// Stops as planned: says leaving, serves while balancers lag, refuses new work, finishes
-    /// what is in flight, hands over tickets and says good-bye. Nothing in flight is cut off
-    /// unless it outlasts the grace.
+    /// Stops gracefully: announces that the node is leaving, serves until load balancers have noticed, refuses new work,
+    /// hands over its tickets, waits for the work in flight and announces the stop. Work is cancelled only if it takes
+    /// longer than the grace period.
     pub async fn stop(mut self) {
         let node = self.node.clone();
         node.enter_phase(StopPhase::LameDuck);
@@ -48,26 +48,26 @@
         self.tasks.shutdown().await;
     }
 
-    /// Ends at once, as a crash would.
+    /// Stops at once, like a crash.
     pub fn kill(mut self) {
         self.tasks.abort_all();
     }
 }
 
 async fn wait_for_zero(counter: &AtomicUsize, grace: Duration) {
-    const LOOK_EVERY: Duration = Duration::from_millis(5);
-    let zero = async {
+    const POLL_INTERVAL: Duration = Duration::from_millis(5);
+    let until_zero = async {
         while counter.load(Ordering::SeqCst) > 0 {
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    if tokio::time::timeout(grace, zero).await.is_err() {
+    if tokio::time::timeout(grace, until_zero).await.is_err() {
         tracing::warn!(event = "stop_grace_over", in_flight = counter.load(Ordering::SeqCst));
     }
 }
 
-/// Hands tickets to one live node of the own domain, else of another. The hand-over counts
-/// only once it is acknowledged and told, so at most one node ever answers for a ticket.
+/// Hands over the tickets to a live node, preferably in the own failure domain. The handover takes effect only after it is
+/// acknowledged and announced, so at most one node answers for a ticket.
 async fn hand_over(node: &Arc<Node>) {
     let now = node.clock.now();
     let mut handovers = vec![node.own_tickets.hand_over(now)];
@@ -94,14 +94,14 @@
     tracing::warn!(event = "tickets_not_handed_over");
 }
 
-/// Tells every live node of the end and of the hand-over, and waits for them to take it in.
+/// Announces the stop and the handover to every live node and waits for their answers.
 async fn announce_stop(node: &Arc<Node>) {
     let now = node.clock.now();
-    let others: Vec<SocketAddr> = node.members().workers(now).map(|entry| entry.peer_address).collect();
-    let mut told = JoinSet::new();
-    for address in others {
-        told.spawn(gossip::exchange(node.clone(), node.links.for_address(address)));
+    let addresses: Vec<SocketAddr> = node.members().workers(now).map(|entry| entry.peer_address).collect();
+    let mut exchanges = JoinSet::new();
+    for address in addresses {
+        exchanges.spawn(gossip::exchange(node.clone(), node.links.for_address(address)));
     }
-    // Whoever is not reached learns it from the others.
-    let _ = tokio::time::timeout(ANNOUNCE_TIMEOUT, async { while told.join_next().await.is_some() {} }).await;
+    // Nodes that are not reached receive the update from other nodes.
+    let _ = tokio::time::timeout(ANNOUNCE_TIMEOUT, async { while exchanges.join_next().await.is_some() {} }).await;
 }
--- a/crates/daemon/src/tickets.rs
+++ b/crates/daemon/src/tickets.rs
@@ -1,5 +1,5 @@
-//! Tickets: keys minted by a node in its own name. Only the run that minted one, or the one
-//! it was handed to in a planned stop, may ever run it, so no two nodes need to agree.
+//! Tickets: idempotency keys that a node mints. Only the incarnation that minted a ticket, or the one that took it over in
+//! a graceful stop, runs its order, so nodes need no consensus.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,28 +14,28 @@
 use crate::outcomes::{KeyUse, OutcomeTable};
 use crate::wire::{OrderReply, TicketHandover};
 
-/// How a ticket begins; callers' own keys may not.
+/// Prefix of every ticket. A caller's key with this prefix is treated as a ticket.
 pub const TICKET_PREFIX: &str = "t1.";
-/// Bytes of the MAC kept in a ticket.
+/// Length of the truncated MAC in a ticket, in bytes.
 const MAC_LEN: usize = 16;
-/// Tickets remembered at most, so that memory is bounded.
+/// Maximum number of used tickets that a table remembers, to bound its memory.
 const MAX_USED_TICKETS: usize = 200_000;
 
-/// A ticket taken apart.
+/// A parsed ticket.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrderTicket {
     /// The node that minted it.
     pub node: NodeId,
-    /// Its run.
+    /// The run of that node.
     pub incarnation: Incarnation,
-    /// Its number within the run.
+    /// Sequence number within the run.
     pub sequence: u64,
     /// When it expires, in milliseconds since the run started.
     pub expires_ms: u64,
     mac: [u8; MAC_LEN],
 }
 
-/// Why a text is not a ticket.
+/// The text is not a ticket.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("not a ticket")]
 pub struct ParseTicketError;
@@ -67,45 +67,45 @@
 /// Why a ticket may not be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TicketError {
-    /// It is forged or another caller's: under it nothing ever ran.
+    /// It is forged or of another caller. No order has run under it.
     Forged,
-    /// It has expired and its outcome, if any, is forgotten.
+    /// It has expired, and an outcome is no longer remembered.
     Expired,
 }
 
-/// The tickets of one run of one node.
+/// The tickets of one run of a node, with the outcomes of the used ones.
 pub struct TicketTable {
     node: NodeId,
     incarnation: Incarnation,
     secret: [u8; 32],
-    life: Duration,
+    lifetime: Duration,
     started: Moment,
-    taken: Moment,
+    adopted_at: Moment,
     hops: u32,
-    next: AtomicU64,
+    next_sequence: AtomicU64,
     used: OutcomeTable<u64>,
 }
 
 impl TicketTable {
-    /// The book of a new run.
-    pub fn new(node: NodeId, incarnation: Incarnation, life: Duration, now: Moment) -> Self {
-        let used = OutcomeTable::new(life * 2, MAX_USED_TICKETS);
+    /// Creates the table of a new run.
+    pub fn new(node: NodeId, incarnation: Incarnation, lifetime: Duration, now: Moment) -> Self {
+        let used = OutcomeTable::new(lifetime * 2, MAX_USED_TICKETS);
         Self {
             node,
             incarnation,
             secret: rand::random(),
-            life,
+            lifetime,
             started: now,
-            taken: now,
+            adopted_at: now,
             hops: 0,
-            next: AtomicU64::new(1),
+            next_sequence: AtomicU64::new(1),
             used,
         }
     }
 
-    /// The book of another run, taken over in its planned stop.
-    pub fn adopt(handover: TicketHandover, life: Duration, now: Moment) -> Self {
-        let used = OutcomeTable::new(life * 2, MAX_USED_TICKETS);
+    /// Creates the table of another run, taken over in its graceful stop.
+    pub fn adopt(handover: TicketHandover, lifetime: Duration, now: Moment) -> Self {
+        let used = OutcomeTable::new(lifetime * 2, MAX_USED_TICKETS);
         for (sequence, reply) in handover.used {
             used.adopt(now, sequence, reply);
         }
@@ -115,18 +115,18 @@
             node,
             incarnation,
             secret,
-            life,
+            lifetime,
             started,
-            taken: now,
+            adopted_at: now,
             hops: handover.hops,
-            next: AtomicU64::new(u64::MAX),
+            next_sequence: AtomicU64::new(u64::MAX),
             used,
         }
     }
 
     fn mac(&self, sequence: u64, expires_ms: u64, caller: &CallerName) -> Hmac<Sha256> {
         let text = format!("{}|{}|{sequence}|{expires_ms}|{caller}", self.node, self.incarnation);
-        // HMAC takes a key of any length, so this cannot fail.
+        // HMAC accepts keys of any length, so this cannot fail.
         #[allow(clippy::unwrap_used)]
         let mut mac = Hmac::<Sha256>::new_from_slice(&self.secret).unwrap();
         mac.update(text.as_bytes());
@@ -135,8 +135,8 @@
 
     /// Mints a ticket for a caller.
     pub fn mint(&self, now: Moment, caller: &CallerName) -> OrderTicket {
-        let sequence = self.next.fetch_add(1, Ordering::Relaxed);
-        let expires = now.since(self.started) + self.life;
+        let sequence = self.next_sequence.fetch_add(1, Ordering::Relaxed);
+        let expires = now.since(self.started) + self.lifetime;
         let expires_ms = u64::try_from(expires.as_millis()).unwrap_or(u64::MAX);
         let full = self.mac(sequence, expires_ms, caller).finalize().into_bytes();
         let mut mac = [0; MAC_LEN];
@@ -144,15 +144,15 @@
         OrderTicket { node: self.node.clone(), incarnation: self.incarnation, sequence, expires_ms, mac }
     }
 
-    /// Whether the ticket is of this book.
+    /// Whether the ticket is of this table's run.
     pub fn is_own(&self, ticket: &OrderTicket) -> bool {
         ticket.node == self.node && ticket.incarnation == self.incarnation
     }
 
-    /// Begins the use of a ticket, or finds its earlier use.
+    /// Marks a ticket as used, or returns the outcome of its earlier use.
     ///
     /// # Errors
-    /// The ticket is forged, another caller's, or expired and not remembered.
+    /// The ticket is forged or of another caller, or it has expired and is not remembered.
     pub fn begin(&self, now: Moment, ticket: &OrderTicket, caller: &CallerName) -> Result<KeyUse, TicketError> {
         let mac = self.mac(ticket.sequence, ticket.expires_ms, caller);
         if !self.is_own(ticket) || mac.verify_truncated_left(&ticket.mac).is_err() {
@@ -167,18 +167,17 @@
         Ok(self.used.begin(now, ticket.sequence))
     }
 
-    /// Whether a book that was taken over has nothing left to answer for.
+    /// Whether all tickets of a table that was taken over have expired, with their outcomes.
     pub fn is_over(&self, now: Moment) -> bool {
-        now.since(self.taken) > self.life * 3
+        now.since(self.adopted_at) > self.lifetime * 3
     }
 
-    /// Forgets tickets that have expired.
+    /// Removes the outcomes of expired tickets.
     pub fn sweep(&self, now: Moment) {
         self.used.sweep(now);
     }
 
-    /// Everything another node needs to answer for these tickets. The caller of this must
-    /// have made sure that none of them runs here any more.
+    /// The state that another node needs to take over these tickets. No order may be running under them any more.
     pub fn hand_over(&self, now: Moment) -> TicketHandover {
         let used: Vec<(u64, OrderReply)> = self.used.export();
         let elapsed_ms = u64::try_from(now.since(self.started).as_millis()).unwrap_or(u64::MAX);
--- a/crates/daemon/src/upstream.rs
+++ b/crates/daemon/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to one server, opened ahead of demand and paced, and calls over them.
+//! Connections to one server, which are opened ahead of demand and with backoff, and calls over them.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -21,50 +21,51 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// How long connecting may take.
+/// Timeout of a TCP connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The first pause after a failed connect; each is twice the one before, with jitter.
+/// First delay before the next connect. The delay doubles after each failed connect, with jitter.
 const FIRST_DELAY: Duration = Duration::from_millis(20);
-/// The longest such pause.
+/// Maximum delay before the next connect.
 const MAX_DELAY: Duration = Duration::from_secs(2);
-/// Pings find a connection that is cut without a word.
+/// Interval of HTTP/2 pings and the timeout of their answers. Pings detect a connection that no longer delivers anything
+/// but was not closed.
 const PING_INTERVAL: Duration = Duration::from_secs(1);
 const PING_TIMEOUT: Duration = Duration::from_secs(2);
-/// Flow-control window of each stream and connection.
-const WINDOW: u32 = 4 << 20;
-/// HTTP/1.1 connections kept warm.
+/// HTTP/2 flow-control window of each stream and connection, in bytes.
+const WINDOW_SIZE: u32 = 4 << 20;
+/// Number of HTTP/1.1 connections that are opened ahead of demand.
 const MIN_IDLE_HTTP1: u32 = 2;
 
-/// Whether a server can be reached, as its connections tell.
+/// Whether a server is reachable, according to its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkState {
-    /// Nothing is known yet.
+    /// No connect has succeeded or failed yet, or the connection was lost.
     Connecting,
-    /// There is a connection.
+    /// A connection is open.
     Up,
     /// The last connect failed.
     Down,
 }
 
-/// What a server's health endpoint says.
+/// The answer of a server's health endpoint.
 #[derive(Debug, Clone, Deserialize)]
 pub struct HealthReport {
-    /// Whether it is leaving.
+    /// Whether the server is draining before its stop.
     pub draining: bool,
-    /// Load, 0 to 1.
+    /// The server's load, from 0 to 1.
     pub load: f64,
-    /// Which run of the process answers.
+    /// Identifies the run of the server process.
     pub incarnation: u64,
-    /// Versions held by index.
+    /// The held versions of each index.
     pub indexes: BTreeMap<IndexName, HeldRange>,
 }
 
-/// Oldest and newest version held.
+/// The range of held index versions.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct HeldRange {
-    /// The oldest.
+    /// The oldest held version.
     pub oldest: IndexVersion,
-    /// The newest.
+    /// The newest held version.
     pub newest: IndexVersion,
 }
 
@@ -74,19 +75,19 @@
     }
 }
 
-/// One server's connections, at most `share` of them.
+/// The connections to one server, at most `max_connections`.
 pub struct ServerLink {
     address: ServerAddress,
     authority: Authority,
     protocol: ServerProtocol,
-    share: u32,
-    shared: ArcSwapOption<SendRequest<Bytes>>,
+    max_connections: u32,
+    http2_sender: ArcSwapOption<SendRequest<Bytes>>,
     idle: Mutex<Vec<http1::SendRequest<Full<Bytes>>>>,
-    open: Arc<AtomicU32>,
+    open_count: Arc<AtomicU32>,
     state: watch::Sender<LinkState>,
 }
 
-/// Counts one open connection for as long as it lives.
+/// Counts an open connection until it is dropped.
 struct ConnectionGuard(Arc<AtomicU32>);
 
 impl Drop for ConnectionGuard {
@@ -96,20 +97,20 @@
 }
 
 impl ServerLink {
-    /// A link with a task that keeps it connected; the task ends when the handle is aborted.
-    pub fn open(address: ServerAddress, protocol: ServerProtocol, share: u32) -> (Arc<Self>, JoinHandle<()>) {
+    /// Creates a link and starts the task that keeps it connected, which runs until its handle is aborted.
+    pub fn open(address: ServerAddress, protocol: ServerProtocol, max_connections: u32) -> (Arc<Self>, JoinHandle<()>) {
         let link = Arc::new(Self {
             address,
             authority: make_authority(address),
             protocol,
-            share,
-            shared: ArcSwapOption::empty(),
+            max_connections,
+            http2_sender: ArcSwapOption::empty(),
             idle: Mutex::new(Vec::new()),
-            open: Arc::default(),
+            open_count: Arc::default(),
             state: watch::Sender::new(LinkState::Connecting),
         });
-        let keeper = tokio::spawn(keep_connected(link.clone()));
-        (link, keeper)
+        let task = tokio::spawn(keep_connected(link.clone()));
+        (link, task)
     }
 
     /// The server's address.
@@ -123,25 +124,24 @@
         parts.scheme = Some(Scheme::HTTP);
         parts.authority = Some(self.authority.clone());
         parts.path_and_query = Some(path);
-        // All three parts are there, so this cannot fail.
+        // Scheme, authority and path are all set, so this cannot fail.
         Uri::from_parts(parts).unwrap_or_default()
     }
 
-    /// Whether the server can be reached.
+    /// Whether the server is reachable.
     pub fn state(&self) -> LinkState {
         *self.state.borrow()
     }
 
-    /// Connections open now.
+    /// The number of open connections.
     pub fn open_connections(&self) -> u32 {
-        self.open.load(Ordering::Relaxed)
+        self.open_count.load(Ordering::Relaxed)
     }
 
-    /// Sends a request and reads the whole answer, at most `limit` bytes.
+    /// Sends a request and reads the complete response, at most `limit` bytes.
     ///
     /// # Errors
-    /// `NotSent` if no byte went out, `Refused` if the server refused the stream unprocessed,
-    /// else `Unknown`.
+    /// `NotSent` if nothing was sent, `Refused` if the server refused the stream without processing it, otherwise `Unknown`.
     pub async fn call(&self, request: Request<Bytes>, limit: usize) -> Result<Response<Bytes>, AttemptOutcome> {
         self.wait_connected().await?;
         match self.protocol {
@@ -163,15 +163,15 @@
     }
 
     async fn call_http2(&self, request: Request<Bytes>, limit: usize) -> Result<Response<Bytes>, AttemptOutcome> {
-        let shared = self.shared.load_full().ok_or(AttemptOutcome::NotSent)?;
-        let sender = SendRequest::clone(&shared);
+        let http2_sender = self.http2_sender.load_full().ok_or(AttemptOutcome::NotSent)?;
+        let sender = SendRequest::clone(&http2_sender);
         let mut sender = sender.ready().await.map_err(|_| AttemptOutcome::NotSent)?;
         let (parts, body) = request.into_parts();
         let is_bodyless = body.is_empty();
         let sent = sender.send_request(Request::from_parts(parts, ()), is_bodyless);
         let (response, mut stream) = sent.map_err(|_| AttemptOutcome::NotSent)?;
         if !is_bodyless {
-            // Held back by flow control, it waits inside the stream; its size is bounded at the caller.
+            // The stream buffers data that flow control holds back. The body limit for callers bounds its size.
             stream.send_data(body, true).map_err(|error| classify(&error))?;
         }
         let response = response.await.map_err(|error| classify(&error))?;
@@ -205,16 +205,16 @@
         self.connect_http1().await.ok_or(AttemptOutcome::NotSent)
     }
 
-    /// Counts one more connection, unless the share is used up.
+    /// Counts one more connection; `None` if `max_connections` are open.
     fn count_open(&self) -> Option<ConnectionGuard> {
-        let more = |open| (open < self.share).then_some(open + 1);
-        let counted = self.open.fetch_update(Ordering::Relaxed, Ordering::Relaxed, more);
-        counted.ok().map(|_| ConnectionGuard(self.open.clone()))
+        let add_one = |open| (open < self.max_connections).then_some(open + 1);
+        let counted = self.open_count.fetch_update(Ordering::Relaxed, Ordering::Relaxed, add_one);
+        counted.ok().map(|_| ConnectionGuard(self.open_count.clone()))
     }
 
     async fn connect_tcp(&self) -> Option<TcpStream> {
-        let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address.0)).await;
-        let stream = connected.ok()?.ok()?;
+        let result = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address.0)).await;
+        let stream = result.ok()?.ok()?;
         stream.set_nodelay(true).ok()?;
         Some(stream)
     }
@@ -224,44 +224,44 @@
         let stream = self.connect_tcp().await?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
         tokio::spawn(async move {
-            // Its error reaches whoever holds the sender.
+            // The holder of the sender gets the error.
             let _ = connection.await;
             drop(count);
         });
         Some(sender)
     }
 
-    /// Connects and holds the connection until it ends; false if it could not connect.
+    /// Opens the HTTP/2 connection and drives it until it ends; false if the connect failed.
     async fn run_http2(&self) -> bool {
         let Some(count) = self.count_open() else { return false };
         let Some(stream) = self.connect_tcp().await else { return false };
         let mut builder = h2::client::Builder::new();
-        builder.initial_window_size(WINDOW).initial_connection_window_size(WINDOW).enable_push(false);
+        builder.initial_window_size(WINDOW_SIZE).initial_connection_window_size(WINDOW_SIZE).enable_push(false);
         let Ok((sender, mut connection)) = builder.handshake::<_, Bytes>(stream).await else { return false };
         let pings = connection.ping_pong();
-        self.shared.store(Some(Arc::new(sender)));
+        self.http2_sender.store(Some(Arc::new(sender)));
         self.state.send_replace(LinkState::Up);
-        // A connection that fails is opened again, so its error needs no telling.
+        // The error is dropped, since a failed connection is opened again.
         tokio::select! {
             _ = connection => {}
             () = watch_pings(pings) => {}
         }
-        self.shared.store(None);
+        self.http2_sender.store(None);
         self.state.send_replace(LinkState::Connecting);
         drop(count);
         true
     }
 
-    /// Keeps a few idle connections; false if one could not be opened.
+    /// Opens an HTTP/1.1 connection if there are too few; false if the connect failed.
     async fn keep_warm_http1(&self) -> bool {
-        let wanted = MIN_IDLE_HTTP1.min(self.share);
-        let Ok(ready) = self.idle.lock().map(|mut idle| {
+        let target = MIN_IDLE_HTTP1.min(self.max_connections);
+        let Ok(idle_count) = self.idle.lock().map(|mut idle| {
             idle.retain(|sender| !sender.is_closed());
             idle.len() as u32
         }) else {
             return false;
         };
-        if ready >= wanted || self.open_connections() >= wanted {
+        if idle_count >= target || self.open_connections() >= target {
             return true;
         }
         match self.connect_http1().await {
@@ -279,29 +279,28 @@
     }
 }
 
-/// An IP number and port are always an authority.
+/// The URI authority of a server. An IP address with a port is always a valid one.
 fn make_authority(address: ServerAddress) -> Authority {
     Authority::try_from(address.to_string()).unwrap_or_else(|_| Authority::from_static("127.0.0.1"))
 }
 
-/// Keeps a link connected for as long as the task runs, with growing, jittered pauses
-/// while the server cannot be reached.
+/// Keeps a link connected, with exponential backoff and jitter while the server is unreachable.
 async fn keep_connected(link: Arc<ServerLink>) {
-    let mut pause = FIRST_DELAY;
+    let mut delay = FIRST_DELAY;
     loop {
-        let connected = match link.protocol {
+        let is_connected = match link.protocol {
             ServerProtocol::H2 => link.run_http2().await,
             ServerProtocol::Http1 => link.keep_warm_http1().await,
         };
-        pause = if connected { FIRST_DELAY } else { (pause * 2).min(MAX_DELAY) };
-        if !connected {
+        delay = if is_connected { FIRST_DELAY } else { (delay * 2).min(MAX_DELAY) };
+        if !is_connected {
             link.state.send_replace(LinkState::Down);
         }
-        tokio::time::sleep(pause.mul_f64(rand::random_range(0.5..1.0))).await;
+        tokio::time::sleep(delay.mul_f64(rand::random_range(0.5..1.0))).await;
     }
 }
 
-/// Ends when the server no longer answers pings.
+/// Returns when the server no longer answers pings.
 async fn watch_pings(pings: Option<h2::PingPong>) {
     let Some(mut pings) = pings else { return std::future::pending().await };
     loop {
@@ -313,7 +312,7 @@
     }
 }
 
-/// A stream that the server refused was not processed (RFC 9113, section 8.7).
+/// The outcome of a call with this error. A refused stream was not processed (RFC 9113, section 8.7).
 fn classify(error: &h2::Error) -> AttemptOutcome {
     match error.reason() {
         Some(h2::Reason::REFUSED_STREAM) => AttemptOutcome::Refused,
@@ -323,19 +322,19 @@
 
 async fn collect_http2(response: Response<h2::RecvStream>, limit: usize) -> Result<Response<Bytes>, AttemptOutcome> {
     let (parts, mut body) = response.into_parts();
-    let mut whole = BytesMut::new();
+    let mut buffer = BytesMut::new();
     while let Some(data) = body.data().await {
         let data = data.map_err(|error| classify(&error))?;
         body.flow_control().release_capacity(data.len()).map_err(|error| classify(&error))?;
-        if whole.is_empty() && body.is_end_stream() && data.len() <= limit {
+        if buffer.is_empty() && body.is_end_stream() && data.len() <= limit {
             return Ok(Response::from_parts(parts, data));
         }
-        if whole.len() + data.len() > limit {
+        if buffer.len() + data.len() > limit {
             return Err(AttemptOutcome::Unknown);
         }
-        whole.extend_from_slice(&data);
+        buffer.extend_from_slice(&data);
     }
-    Ok(Response::from_parts(parts, whole.freeze()))
+    Ok(Response::from_parts(parts, buffer.freeze()))
 }
 
 async fn collect(response: Response<Incoming>, limit: usize) -> Result<Response<Bytes>, AttemptOutcome> {
--- a/crates/daemon/src/view.rs
+++ b/crates/daemon/src/view.rs
@@ -1,4 +1,4 @@
-//! What a request reads of the cluster: one value, replaced whole (read-copy-update).
+//! The cluster view that requests read: an immutable snapshot that is replaced as a whole (read-copy-update).
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,36 +10,36 @@
 
 use streamfold_link::PeerLink;
 
-/// A node that may be given work.
+/// A node that accepts work.
 #[derive(Clone)]
 pub struct WorkTarget {
-    /// The node.
+    /// Name of the node.
     pub node: NodeId,
-    /// Its link; none for this node itself.
+    /// The link to the node; `None` for this node itself.
     pub link: Option<Arc<PeerLink>>,
-    /// Whether its heartbeats are late.
-    pub suspect: bool,
+    /// Whether the failure detector suspects the node because its heartbeats are late.
+    pub is_suspect: bool,
 }
 
-/// The configuration, the nodes and the owners that one request works with.
+/// The configuration, the nodes and the owners of upstreams that a request uses to its end.
 pub struct ClusterView {
-    /// The configuration, once there is one.
+    /// The configuration in force, if there is one.
     pub config: Option<Arc<Configuration>>,
-    /// Nodes that may be given work, by failure domain.
+    /// Nodes that accept work, by failure domain.
     pub workers: HashMap<FailureDomain, Vec<WorkTarget>>,
-    /// Owners of each upstream, the preferred one first.
+    /// Owners of each upstream, in the order of the configuration's upstreams, the preferred one first.
     pub owners: Vec<Arc<[WorkTarget]>>,
-    /// What is believed of index versions.
+    /// The index versions that upstreams have reported.
     pub versions: Arc<VersionTable>,
 }
 
 impl ClusterView {
-    /// A view without configuration or nodes.
+    /// Creates a view without a configuration and nodes.
     pub fn empty() -> Self {
         Self { config: None, workers: HashMap::new(), owners: Vec::new(), versions: Arc::default() }
     }
 
-    /// A view with the owners worked out; `count` owners for each upstream.
+    /// Creates a view with `count` owners for each upstream.
     pub fn build(
         config: Option<Arc<Configuration>>,
         workers: HashMap<FailureDomain, Vec<WorkTarget>>,
@@ -56,16 +56,16 @@
         Self { config, workers, owners, versions }
     }
 
-    /// The owner to try as number `attempt` for a request: this node first if it is one, else
-    /// the owners in turn, so that each sees its part of the load. `None` when all were tried.
-    pub fn owner(&self, upstream: UpstreamIndex, turn: usize, attempt: usize) -> Option<&WorkTarget> {
+    /// The owner for attempt number `attempt` of a request. This node comes first if it is an owner. Otherwise `rotation`
+    /// selects the first of the owners that are not suspected, which spreads the load over them. `None` after the last one.
+    pub fn owner(&self, upstream: UpstreamIndex, rotation: usize, attempt: usize) -> Option<&WorkTarget> {
         let owners = self.owners(upstream);
         if attempt >= owners.len() {
             return None;
         }
-        let steady = owners.iter().take_while(|target| !target.suspect && target.link.is_some()).count();
-        match attempt < steady {
-            true => owners.get((turn + attempt) % steady),
+        let rotating = owners.iter().take_while(|target| !target.is_suspect && target.link.is_some()).count();
+        match attempt < rotating {
+            true => owners.get((rotation + attempt) % rotating),
             false => owners.get(attempt),
         }
     }
@@ -76,36 +76,36 @@
     }
 }
 
-/// Owners by rendezvous; this node first if it is one, nodes with late heartbeats last.
+/// Chooses owners by rendezvous hashing and orders them: this node first if it is an owner, suspected nodes last.
 fn choose_targets(domain: &[WorkTarget], key: &str, count: usize) -> Arc<[WorkTarget]> {
     let chosen = choose_owners(domain.iter().map(|target| target.node.as_str()), key, count);
     let find = |name: &&str| domain.iter().find(|target| target.node.as_str() == *name).cloned();
     let mut targets: Vec<WorkTarget> = chosen.iter().filter_map(find).collect();
-    targets.sort_by_key(|target| (target.suspect, target.link.is_some()));
+    targets.sort_by_key(|target| (target.is_suspect, target.link.is_some()));
     targets.into()
 }
 
-/// Oldest and newest version believed held, 0 and 0 for nothing known.
+/// The range of reported versions; 0 and 0 without a report.
 #[derive(Debug, Default)]
 struct VersionCell {
     oldest: AtomicU64,
     newest: AtomicU64,
 }
 
-/// What is believed of the versions each upstream holds. Cells only rise.
+/// The index versions that each upstream has reported. Versions never decrease.
 #[derive(Debug, Default)]
 pub struct VersionTable {
     indexes: HashMap<IndexName, Vec<VersionCell>>,
 }
 
 impl VersionTable {
-    /// An empty table for a configuration.
+    /// Creates an empty table for a configuration.
     pub fn new(config: &Configuration) -> Self {
         let cells = || config.upstreams.iter().map(|_| VersionCell::default()).collect();
         Self { indexes: config.indexes.keys().map(|name| (name.clone(), cells())).collect() }
     }
 
-    /// Takes over what another configuration's table knew of the same upstreams.
+    /// Copies the versions of the same upstreams from the table of another configuration.
     pub fn carry_over(&self, config: &Configuration, old: &Self, old_config: &Configuration) {
         let names = old_config.upstreams.iter().zip(0..);
         let positions: HashMap<_, _> = names.map(|(spec, position)| (&spec.name, UpstreamIndex(position))).collect();
@@ -113,13 +113,13 @@
             for (spec, position) in config.upstreams.iter().zip(0..) {
                 let known = positions.get(&spec.name).and_then(|old_position| old.get(index, *old_position));
                 if let Some(held) = known {
-                    self.learn(index, UpstreamIndex(position), held);
+                    self.record(index, UpstreamIndex(position), held);
                 }
             }
         }
     }
 
-    /// What is believed of an upstream.
+    /// The reported versions of an upstream.
     pub fn get(&self, index: &IndexName, upstream: UpstreamIndex) -> Option<HeldVersions> {
         let cell = self.indexes.get(index)?.get(upstream.0 as usize)?;
         let newest = cell.newest.load(Ordering::Relaxed);
@@ -127,8 +127,8 @@
         (newest > 0).then_some(HeldVersions { oldest: IndexVersion(oldest), newest: IndexVersion(newest) })
     }
 
-    /// Learns what an upstream told.
-    pub fn learn(&self, index: &IndexName, upstream: UpstreamIndex, held: HeldVersions) {
+    /// Records the versions that an upstream reported.
+    pub fn record(&self, index: &IndexName, upstream: UpstreamIndex, held: HeldVersions) {
         let cell = self.indexes.get(index).and_then(|cells| cells.get(upstream.0 as usize));
         if let Some(cell) = cell {
             cell.oldest.fetch_max(held.oldest.0, Ordering::Relaxed);
--- a/crates/daemon/src/watch.rs
+++ b/crates/daemon/src/watch.rs
@@ -1,5 +1,5 @@
-//! Watches the store for newer configurations. Two nodes of each failure domain hold the
-//! watch; the others ask rarely, so that the store's calls grow with domains, not nodes.
+//! Watches the store for newer configurations. Two nodes of each failure domain are watchers; the others rarely read the
+//! store, so that the number of store calls grows with the failure domains and not with the nodes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,43 +11,43 @@
 use crate::keeper::{OfferResult, WATCH_WAIT};
 use crate::node::Node;
 
-/// Watchers in each failure domain.
+/// Number of watchers in each failure domain.
 const WATCHERS: usize = 2;
-/// How often the duty is looked at again.
+/// Time between two checks of a node that is not a watcher whether it has become one.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// A node that is no watcher asks once its configuration has been unconfirmed this long.
+/// A node that is not a watcher reads the store if its configuration has not been confirmed for this time.
 const FALLBACK_AGE: Duration = Duration::from_secs(30);
-/// Pause between two asks of a node without a configuration, or after a failed one.
+/// Delay between two reads of the store. It doubles after each failed read, or while the node has no configuration.
 const FIRST_DELAY: Duration = Duration::from_millis(200);
-/// The longest pause in an outage.
+/// Maximum delay during an outage of the store.
 const MAX_DELAY: Duration = Duration::from_secs(10);
 
-/// Watches until the node ends.
+/// Watches the store until the task is aborted.
 pub async fn run(node: Arc<Node>) {
     let mut tag: Option<EntityTag> = None;
-    let mut pause = FIRST_DELAY;
+    let mut delay = FIRST_DELAY;
     loop {
-        let has_none = node.keeper.current().is_none();
+        let has_no_config = node.keeper.current().is_none();
         let is_stale = node.keeper.age_ms() > FALLBACK_AGE.as_millis() as u64;
         let is_watcher = is_watcher(&node);
-        if !is_watcher && !has_none && !is_stale {
+        if !is_watcher && !has_no_config && !is_stale {
             tokio::time::sleep(ROLE_CHECK_INTERVAL.mul_f64(rand::random_range(0.8..1.2))).await;
             continue;
         }
-        let seen = match has_none || !is_watcher {
+        let result = match has_no_config || !is_watcher {
             true => node.store.read_head().await,
             false => node.store.watch_head(tag.clone(), WATCH_WAIT).await,
         };
-        let failed = match seen {
-            Ok(Some((head, seen_tag))) => handle_head(&node, head).await.map(|()| tag = Some(seen_tag)).is_err(),
+        let failed = match result {
+            Ok(Some((head, new_tag))) => handle_head(&node, head).await.map(|()| tag = Some(new_tag)).is_err(),
             Ok(None) => {
                 node.keeper.confirm(node.keeper.version(), 0);
-                has_none
+                has_no_config
             }
             Err(_) => true,
         };
-        pause = if failed { (pause * 2).min(MAX_DELAY) } else { FIRST_DELAY };
-        tokio::time::sleep(pause.mul_f64(rand::random_range(0.5..1.0))).await;
+        delay = if failed { (delay * 2).min(MAX_DELAY) } else { FIRST_DELAY };
+        tokio::time::sleep(delay.mul_f64(rand::random_range(0.5..1.0))).await;
     }
 }
 
@@ -55,7 +55,7 @@
     let view = node.view();
     let none = Vec::new();
     let domain = view.workers.get(&node.settings.domain).unwrap_or(&none);
-    let names = domain.iter().filter(|target| !target.suspect).map(|target| target.node.as_str());
+    let names = domain.iter().filter(|target| !target.is_suspect).map(|target| target.node.as_str());
     choose_owners(names, "watch", WATCHERS).contains(&node.settings.node.as_str())
 }
 
--- a/crates/daemon/src/wire.rs
+++ b/crates/daemon/src/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes. Every decode is bounded by the limit of its kind.
+//! Messages between nodes. The size of each kind of message is limited before it is decoded.
 
 use std::fmt;
 
@@ -15,66 +15,66 @@
 pub const PATH_ORDER: &str = "/order";
 /// Path of a heartbeat.
 pub const PATH_GOSSIP: &str = "/gossip";
-/// Path of a request for the configuration in force.
+/// Path of a request for a newer configuration.
 pub const PATH_CONFIG: &str = "/config";
-/// Path of a hand-over of tickets.
+/// Path of a handover of tickets.
 pub const PATH_ADOPT: &str = "/adopt";
 
-/// One batch: everything a request wants from one owner.
+/// A batch: all pieces of a request for one owner.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct BatchRequest {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Time left to its deadline, in microseconds.
+    /// Time until the deadline, in microseconds.
     pub remaining_us: u64,
-    /// The index.
+    /// Name of the index.
     pub index: IndexName,
-    /// The pinned version; without one the owner only tells which versions are held.
+    /// The pinned index version. Without one, the owner only reports which versions a query's upstreams hold.
     pub version: Option<IndexVersion>,
-    /// Whether attempts may be repeated.
+    /// Whether the request is repeatable: a query. Orders are not.
     pub repeatable: bool,
-    /// The key of a request that is not repeatable, passed on to the server.
+    /// The idempotency key of a non-repeatable request, which is forwarded to the server.
     pub key: Option<String>,
-    /// The caller's body.
+    /// The body of the caller's request.
     pub body: Vec<u8>,
-    /// What is wanted.
+    /// The pieces to run.
     pub pieces: Vec<PieceRequest>,
 }
 
-/// The shards wanted at one upstream.
+/// A piece: the requested shards at one upstream.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct PieceRequest {
-    /// Its number within the batch.
+    /// Number of the piece within the round of the query.
     pub piece: u32,
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: UpstreamName,
-    /// The shards.
+    /// The requested shards.
     pub shards: Vec<ShardId>,
 }
 
-/// What became of one piece; an owner sends one frame for each.
+/// The result of one piece. The owner sends one frame per piece.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct PieceReply {
-    /// Its number.
+    /// Number of the piece.
     pub piece: u32,
-    /// How its last attempt ended, or the worst of several.
+    /// The combined outcome of its attempts.
     pub outcome: AttemptOutcome,
     /// The index version the results come from.
     pub version: Option<IndexVersion>,
-    /// Results by shard, or why there are none.
+    /// The results by shard, or the reason why there are none.
     pub result: Result<Vec<(ShardId, Vec<u8>)>, MissingReason>,
-    /// The versions the upstream is believed to hold.
+    /// The range of index versions that the upstream's servers have reported.
     pub held: Option<HeldVersions>,
-    /// Calls made for it.
+    /// The number of calls to servers for it.
     pub calls: u32,
-    /// Microseconds it waited for slots.
+    /// Microseconds that it waited for slots at servers.
     pub waited_us: u64,
-    /// Microseconds it was served.
+    /// Microseconds that its calls to servers took.
     pub served_us: u64,
 }
 
 impl PieceReply {
-    /// The reply for a piece that its owner never told of.
+    /// The reply for a piece that got none from its owner.
     pub fn lost(piece: u32, outcome: AttemptOutcome, reason: MissingReason) -> Self {
         Self { piece, outcome, version: None, result: Err(reason), held: None, calls: 0, waited_us: 0, served_us: 0 }
     }
@@ -83,58 +83,58 @@
 /// An order for the node that minted its ticket.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct OrderRequest {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Time left to its deadline, in microseconds.
+    /// Time until the deadline, in microseconds.
     pub remaining_us: u64,
-    /// Who orders.
+    /// The caller.
     pub caller: CallerName,
-    /// The index.
+    /// Name of the index.
     pub index: IndexName,
-    /// The record's key, which names the shard.
+    /// The key of the record, which selects the shard.
     pub record: String,
     /// The ticket.
     pub ticket: String,
-    /// The caller's body.
+    /// The body of the caller's request.
     pub body: Vec<u8>,
 }
 
-/// How an order ended.
+/// The result of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum OrderReply {
-    /// It ran; these are the shard, the index version and the server's result.
+    /// The order ran.
     Done {
-        /// The shard it went to.
+        /// The shard that ran it.
         shard: ShardId,
-        /// The version the server answered from.
+        /// The index version of the result.
         version: IndexVersion,
         /// The server's result.
         result: Vec<u8>,
     },
-    /// It gave no result.
+    /// The order has no result.
     Failed(OrderFailure),
 }
 
-/// Why an order gave no result, and whether it ran.
+/// Why an order has no result, and whether it ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub enum OrderFailure {
-    /// No attempt could start or the server refused; it did not run.
+    /// No attempt was started, or the server refused it; the order did not run.
     Missing(MissingReason),
-    /// The attempt's answer was lost; it may have run.
+    /// The answer of the attempt was lost; the order may have run.
     OutcomeUnknown,
     /// The key was used before and its outcome is not remembered.
     AlreadyTaken,
-    /// The ticket is forged or another caller's.
+    /// The ticket is forged or of another caller.
     BadTicket,
     /// The ticket has expired and no outcome is remembered for it.
     Expired,
-    /// The ticket's node cannot be reached.
+    /// The node that holds the ticket is unreachable.
     MinterGone,
-    /// The node is stopping and runs no more orders.
+    /// The node is stopping and starts no more orders.
     Stopping,
-    /// The store could not be used to claim the key.
+    /// The key cannot be claimed in the store, because of an error or the rate limit of claims.
     ClaimFailed,
-    /// The node remembers as many keys as it may.
+    /// The table of remembered keys is full.
     Full,
 }
 
@@ -143,20 +143,20 @@
         let text = match self {
             Self::Missing(reason) => return write!(f, "its shard cannot run it now: {reason}"),
             Self::OutcomeUnknown => "its answer was lost, so it may have run",
-            Self::AlreadyTaken => "its key was used before and that use's outcome is not remembered here",
+            Self::AlreadyTaken => "its key was used before, and the outcome of that use is not remembered",
             Self::BadTicket => "the ticket is forged or another caller's",
             Self::Expired => "the ticket has expired, and no outcome is remembered for it",
             Self::MinterGone => "the node that minted its ticket cannot be reached, so it may have run",
             Self::Stopping => "the node that minted its ticket is stopping",
             Self::ClaimFailed => "its key cannot be claimed in the store now; use the ticket given here",
-            Self::Full => "the node remembers as many keys as it may",
+            Self::Full => "the node's table of remembered keys is full",
         };
         f.write_str(text)
     }
 }
 
 impl OrderFailure {
-    /// What may be said of the order.
+    /// Whether the order ran.
     pub fn ran(self) -> ExecutionState {
         match self {
             Self::Missing(_) | Self::BadTicket | Self::Stopping | Self::ClaimFailed | Self::Full => {
@@ -167,46 +167,46 @@
     }
 }
 
-/// A heartbeat: some entries of the sender's table. The answer has the same shape.
+/// A heartbeat: some entries of the sender's membership table. The answer is of the same type.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct GossipMessage {
-    /// The entries, the sender's own first.
+    /// Membership entries, the sender's own first.
     pub entries: Vec<MemberEntry>,
-    /// Hand-overs of tickets in planned stops.
+    /// Handovers of tickets in graceful stops.
     pub handovers: Vec<HandoverRecord>,
 }
 
-/// The configuration in force, if there is one.
+/// The answer to a request for a newer configuration.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct ConfigReply {
-    /// It.
+    /// The configuration in force, if it is newer than the requested one.
     pub bundle: Option<ConfigBundle>,
 }
 
-/// Everything a stopping node hands over.
+/// The tickets that a stopping node hands over.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct AdoptRequest {
-    /// Its own tickets and those it took over itself.
+    /// Its own tickets and those that it had taken over itself.
     pub handovers: Vec<TicketHandover>,
 }
 
-/// That a message was taken.
+/// The acknowledgement of a handover.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct AdoptReply;
 
-/// Tickets of one run handed over in a planned stop.
+/// The tickets of one run of a node, handed over in its graceful stop.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct TicketHandover {
     /// The node that minted them.
     pub node: NodeId,
-    /// Its run.
+    /// The run of that node.
     pub incarnation: Incarnation,
-    /// The key of its tickets' MAC.
+    /// The MAC key of the tickets.
     pub secret: [u8; 32],
-    /// How often they were handed over, this time included.
+    /// How often the tickets have been handed over, including this time.
     pub hops: u32,
-    /// Milliseconds since the run started, by which its tickets expire.
+    /// Milliseconds since the start of the run, to which the expiry times of its tickets refer.
     pub elapsed_ms: u64,
-    /// Used tickets with what became of them.
+    /// The sequence numbers of used tickets with their outcomes.
     pub used: Vec<(u64, OrderReply)>,
 }
--- a/crates/daemon/tests/route_settings.rs
+++ b/crates/daemon/tests/route_settings.rs
@@ -1,4 +1,4 @@
-//! Settings in routing mode: what is missing or out of range is told, what is unknown is ignored.
+//! Settings of a node that serves routes: missing, malformed and out-of-range settings are reported, unknown ones ignored.
 
 use insta::assert_snapshot;
 use streamfold_daemon::route_node::parse;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn settings_that_the_platform_fills_in_are_read_and_unknown_ones_ignored() {
+fn valid_settings_are_read_and_unknown_ones_ignored() {
     let settings = parse("node.yaml", &format!("{GOOD}added_later: 3\n")).expect("settings");
     assert_eq!(settings.node.as_str(), "vienna-1");
     assert_eq!(settings.regions.len(), 2);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn what_is_missing_or_malformed_is_told_with_its_line() {
+fn missing_and_malformed_settings_are_reported_with_their_line() {
     let without_callers = GOOD.replace("callers: 127.0.0.1:7100\n", "");
     assert_snapshot!(problems(&without_callers));
     assert_snapshot!(problems(&GOOD.replace("127.0.0.1:7101", "somewhere")));
@@ -42,13 +42,13 @@
 }
 
 #[test]
-fn values_out_of_range_and_ports_that_are_the_same_are_told_at_once() {
+fn out_of_range_values_and_duplicate_ports_are_reported_at_once() {
     let wrong = GOOD.replace("ratio: 0.2", "ratio: -1").replace("allowance: 54", "allowance: -2");
     assert_snapshot!(problems(&wrong.replace("127.0.0.1:7103", "127.0.0.1:7100").replace("10s", "0s")));
 }
 
 #[test]
-fn mechanisms_to_do_without_are_read_by_name_and_unknown_ones_refused() {
+fn disabled_mechanisms_are_read_by_name_and_unknown_ones_rejected() {
     let settings = parse("node.yaml", &format!("{GOOD}without: [near_hedges, told_load]\n")).expect("settings");
     let names: Vec<String> = settings.without.iter().map(ToString::to_string).collect();
     assert_eq!(names, ["near_hedges", "told_load"]);
@@ -56,12 +56,12 @@
 }
 
 #[test]
-fn spans_that_would_leave_no_pause_are_refused() {
+fn zero_durations_are_rejected() {
     assert_snapshot!(problems(&format!("{GOOD}gone_after: 0s\nsilence_within: 0s\n")));
 }
 
 #[test]
-fn what_is_decided_when_room_is_short_is_read_and_checked() {
+fn scheduling_settings_for_overload_are_read_and_checked() {
     let settings = parse("node.yaml", GOOD).expect("settings");
     assert_eq!((settings.caller_way, settings.scheduling), (None, SchedulingSettings::default()), "off");
     let text = format!("{GOOD}caller_way: 3ms\nscheduling: {{by_priority: true, by_pace: true}}\n");
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn bounds_of_evacuations_and_cold_servers_are_read_and_checked() {
+fn limits_of_evacuations_and_cold_servers_are_read_and_checked() {
     let settings = parse("node.yaml", GOOD).expect("settings");
     assert_eq!((settings.evacuated_within, settings.cold_calls), (None, None), "a deployment may have neither");
     let bounds = |within: &str, excess: &str| {
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: every problem is told at once, with file and line; the binary's `--check` does the same.
+//! Settings of a node that serves indexes: every problem is reported at once, with file and line, also by `--check`.
 
 use std::process::Command;
 
@@ -21,12 +21,12 @@
 }
 
 #[test]
-fn all_problems_are_told_at_once() {
+fn all_problems_are_reported_at_once() {
     assert_snapshot!(problems(WRONG));
 }
 
 #[test]
-fn syntax_problems_have_their_line() {
+fn syntax_errors_have_their_line() {
     assert_snapshot!(problems("node: vienna-1\nfailure_domain: [\n"));
     assert_snapshot!(problems("node: vienna-1\ncolour: red\n"));
     assert_snapshot!(problems("node: Vienna!\n"));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn the_binary_checks_and_exits_with_2() {
+fn the_check_flag_exits_with_2_on_invalid_settings() {
     let output = Command::new(env!("CARGO_BIN_EXE_streamfoldd")).arg("--check").output().expect("a run");
     assert_eq!(output.status.code(), Some(2));
     assert_snapshot!(String::from_utf8_lossy(&output.stderr));
