--- a/crates/daemon/src/admission.rs
+++ b/crates/daemon/src/admission.rs
@@ -76,7 +76,7 @@
             });
         }
         Admission::Refused(refusal) => return Err(refuse(refusal)),
-        // Dropping the tag of the displaced request tells it that it is refused.
+        // The tag of the displaced request is dropped, which ends its wait with a refusal.
         Admission::Waiting(number) | Admission::Displaced(number, _) => number,
     };
     stats::count_admission_wait();
--- a/crates/daemon/src/headers.rs
+++ b/crates/daemon/src/headers.rs
@@ -28,8 +28,8 @@
 /// See [`server::SERVER_HEADER_RAN`].
 pub const RAN: HeaderName = HeaderName::from_static(server::SERVER_HEADER_RAN);
 
-/// A header value that is used only once. It is marked sensitive, which keeps it out of HTTP/2's header compression table
-/// (HPACK), where it would evict values that repeat.
+/// A header value that is used only once. It is marked sensitive, which keeps it out of HTTP/2's header compression
+/// table (HPACK), where it would evict values that repeat.
 pub fn unindexed_value(value: &impl Display) -> HeaderValue {
     // Ids, numbers and keys are visible ASCII, so this does not fail.
     let mut value = HeaderValue::from_str(&value.to_string()).unwrap_or_else(|_| HeaderValue::from_static(""));
--- a/crates/daemon/src/keeper.rs
+++ b/crates/daemon/src/keeper.rs
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Compares a head record from the store with the configuration in force, before its files are read. A lower version, or
-    /// the same version with another digest, is rejected and reported as an alarm.
+    /// Compares a head record from the store with the configuration in force, before its files are read. A lower
+    /// version, or the same version with another digest, is rejected and reported as an alarm.
     pub fn compare_head(&self, head: &HeadRecord) -> OfferResult {
         let Some(active) = self.active.load_full() else { return OfferResult::Accepted };
         let own = &active.bundle.head;
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -236,8 +236,8 @@
         replies.1.earn(OWNER_HEDGE_SHARE);
     }
 
-    /// The time after which a node that has not replied counts as unresponsive, so that its pieces are hedged to a second
-    /// owner; `None` if there are too few samples or the policy sends no hedges.
+    /// The time after which a node that has not replied counts as unresponsive, so that its pieces are hedged to a
+    /// second owner; `None` if there are too few samples or the policy sends no hedges.
     pub fn owner_hedge_delay(&self) -> Option<Duration> {
         let replies = self.owner_replies();
         if replies.0.samples() < MIN_OWNER_SAMPLES || self.settings.policy == PolicyChoice::Baseline {
--- a/crates/daemon/src/owner.rs
+++ b/crates/daemon/src/owner.rs
@@ -80,8 +80,8 @@
         self.rows().values().map(|row| row.pool.clone()).collect()
     }
 
-    /// Runs the pieces of a batch concurrently and sends each reply as soon as the piece ends. At the deadline the remaining
-    /// pieces are reported as late. Dropping the future cancels the running pieces.
+    /// Runs the pieces of a batch concurrently and sends each reply as soon as the piece ends. At the deadline the
+    /// remaining pieces are reported as late. Dropping the future cancels the running pieces.
     pub async fn run_batch(
         &self,
         config: &Configuration,
--- a/crates/daemon/src/pool.rs
+++ b/crates/daemon/src/pool.rs
@@ -180,8 +180,8 @@
         }
     }
 
-    /// Runs a piece with its attempts, hedges and retries. The caller drops the future at the deadline; `progress` can be
-    /// read after that.
+    /// Runs a piece with its attempts, hedges and retries. The caller drops the future at the deadline; `progress` can
+    /// be read after that.
     pub async fn run(
         self: &Arc<Self>,
         context: &PieceContext,
--- a/crates/daemon/src/round.rs
+++ b/crates/daemon/src/round.rs
@@ -1,5 +1,5 @@
-//! One round of a query at one index version: groups the shards into pieces, sends the pieces to their owners and merges
-//! the replies. Lost pieces are rerouted, and pieces of an unresponsive owner are hedged to another owner.
+//! One round of a query at one index version: groups the shards into pieces, sends the pieces to their owners and
+//! merges the replies. Lost pieces are rerouted, and pieces of an unresponsive owner are hedged to another owner.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -148,8 +148,8 @@
         Some(waited.ok().flatten())
     }
 
-    /// Hedges the pieces of unresponsive owners to their next owners. The hedges that an owner sends to servers do not help
-    /// while the owner itself is stalled or unreachable.
+    /// Hedges the pieces of unresponsive owners to their next owners. The hedges that an owner sends to servers do not
+    /// help while the owner itself is stalled or unreachable.
     fn hedge_unresponsive(&mut self) {
         if self.owner_hedge_at.is_none_or(|owner_hedge_at| self.node.clock.now() < owner_hedge_at) {
             return;
@@ -324,7 +324,8 @@
                 if let Ok(mut reader) = link.stream(PATH_BATCH, &batch).await {
                     while let Ok(Some(reply)) = reader.next::<PieceReply>().await {
                         if !remove_pending(&mut pending, reply.piece) {
-                            // The owner replied twice or to a piece that was not sent. Its remaining pieces count as lost.
+                            // The owner replied twice or to a piece that was not sent. Its remaining pieces count as
+                            // lost.
                             stats::count_bad_peer();
                             break;
                         }
--- a/crates/daemon/src/route_node.rs
+++ b/crates/daemon/src/route_node.rs
@@ -98,8 +98,8 @@
 }
 
 /// Ignores SIGHUP from now on. By default it ends the process, and an operator may send it to reload the settings while
-/// the node starts. No change is missed: the settings are read after this call, and later changes of the file are found by
-/// the periodic check.
+/// the node starts. No change is missed: the settings are read after this call, and later changes of the file are found
+/// by the periodic check.
 ///
 /// # Errors
 /// The handler cannot be installed.
@@ -108,8 +108,8 @@
     signal_hook::flag::register(SIGHUP, Arc::new(AtomicBool::new(false))).map(drop)
 }
 
-/// The name and text of the settings file when it was last read, to detect changes. It is first read before the settings
-/// are loaded, so that a change during the start is found.
+/// The name and text of the settings file when it was last read, to detect changes. It is first read before the
+/// settings are loaded, so that a change during the start is found.
 #[derive(PartialEq, Eq)]
 pub struct SettingsFile(Option<(String, String)>);
 
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -176,8 +176,8 @@
     }
 }
 
-/// Reads what the node serves. An invalid file counts as one for indexes, since the reader of those settings reports every
-/// problem.
+/// Reads what the node serves. An invalid file counts as one for indexes, since the reader of those settings reports
+/// every problem.
 ///
 /// # Errors
 /// The file cannot be read.
@@ -300,10 +300,10 @@
             heartbeat: heartbeat.0,
             body_limit: file.body_limit.unwrap_or(DEFAULT_BODY_LIMIT),
             answer_limit: file.answer_limit.unwrap_or(DEFAULT_ANSWER_LIMIT),
-            lame_duck: file.lame_duck.map_or(DEFAULT_LAME_DUCK, |span| span.0),
-            grace: file.grace.map_or(DEFAULT_GRACE, |span| span.0),
+            lame_duck: file.lame_duck.map_or(DEFAULT_LAME_DUCK, |duration| duration.0),
+            grace: file.grace.map_or(DEFAULT_GRACE, |duration| duration.0),
             claim_rate,
-            ticket_life: file.ticket_life.map_or(DEFAULT_TICKET_LIFE, |span| span.0),
+            ticket_life: file.ticket_life.map_or(DEFAULT_TICKET_LIFE, |duration| duration.0),
             connections: connections as usize,
             policy: file.policy,
             hedging: file.hedging,
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -32,9 +32,9 @@
 }
 
 impl RunningNode {
-    /// Stops gracefully: announces that the node is leaving, serves until load balancers have noticed, refuses new work,
-    /// hands over its tickets, waits for the work in flight and announces the stop. Work is cancelled only if it takes
-    /// longer than the grace period.
+    /// Stops gracefully: announces that the node is leaving, serves until load balancers have noticed, refuses new
+    /// work, hands over its tickets, waits for the work in flight and announces the stop. Work is cancelled only if it
+    /// takes longer than the grace period.
     pub async fn stop(mut self) {
         let node = self.node.clone();
         node.enter_phase(StopPhase::LameDuck);
@@ -66,8 +66,8 @@
     }
 }
 
-/// Hands over the tickets to a live node, preferably in the own failure domain. The handover takes effect only after it is
-/// acknowledged and announced, so at most one node answers for a ticket.
+/// Hands over the tickets to a live node, preferably in the own failure domain. The handover takes effect only after it
+/// is acknowledged and announced, so at most one node answers for a ticket.
 async fn hand_over(node: &Arc<Node>) {
     let now = node.clock.now();
     let mut handovers = vec![node.own_tickets.hand_over(now)];
--- a/crates/daemon/src/tickets.rs
+++ b/crates/daemon/src/tickets.rs
@@ -1,5 +1,5 @@
-//! Tickets: idempotency keys that a node mints. Only the incarnation that minted a ticket, or the one that took it over in
-//! a graceful stop, runs its order, so nodes need no consensus.
+//! Tickets: idempotency keys that a node mints. Only the incarnation that minted a ticket, or the one that took it over
+//! in a graceful stop, runs its order, so nodes need no consensus.
 
 use std::fmt;
 use std::str::FromStr;
--- a/crates/daemon/src/upstream.rs
+++ b/crates/daemon/src/upstream.rs
@@ -27,8 +27,8 @@
 const FIRST_DELAY: Duration = Duration::from_millis(20);
 /// Maximum delay before the next connect.
 const MAX_DELAY: Duration = Duration::from_secs(2);
-/// Interval of HTTP/2 pings and the timeout of their answers. Pings detect a connection that no longer delivers anything
-/// but was not closed.
+/// Interval of HTTP/2 pings and the timeout of their answers. Pings detect a connection that no longer delivers
+/// anything but was not closed.
 const PING_INTERVAL: Duration = Duration::from_secs(1);
 const PING_TIMEOUT: Duration = Duration::from_secs(2);
 /// HTTP/2 flow-control window of each stream and connection, in bytes.
@@ -141,7 +141,8 @@
     /// Sends a request and reads the complete response, at most `limit` bytes.
     ///
     /// # Errors
-    /// `NotSent` if nothing was sent, `Refused` if the server refused the stream without processing it, otherwise `Unknown`.
+    /// `NotSent` if nothing was sent, `Refused` if the server refused the stream without processing it, otherwise
+    /// `Unknown`.
     pub async fn call(&self, request: Request<Bytes>, limit: usize) -> Result<Response<Bytes>, AttemptOutcome> {
         self.wait_connected().await?;
         match self.protocol {
--- a/crates/daemon/src/view.rs
+++ b/crates/daemon/src/view.rs
@@ -56,8 +56,9 @@
         Self { config, workers, owners, versions }
     }
 
-    /// The owner for attempt number `attempt` of a request. This node comes first if it is an owner. Otherwise `rotation`
-    /// selects the first of the owners that are not suspected, which spreads the load over them. `None` after the last one.
+    /// The owner for attempt number `attempt` of a request. This node comes first if it is an owner. Otherwise
+    /// `rotation` selects the first of the owners that are not suspected, which spreads the load over them. `None`
+    /// after the last one.
     pub fn owner(&self, upstream: UpstreamIndex, rotation: usize, attempt: usize) -> Option<&WorkTarget> {
         let owners = self.owners(upstream);
         if attempt >= owners.len() {
--- a/crates/daemon/src/watch.rs
+++ b/crates/daemon/src/watch.rs
@@ -1,5 +1,5 @@
-//! Watches the store for newer configurations. Two nodes of each failure domain are watchers; the others rarely read the
-//! store, so that the number of store calls grows with the failure domains and not with the nodes.
+//! Watches the store for newer configurations. Two nodes of each failure domain are watchers; the others rarely read
+//! the store, so that the number of store calls grows with the failure domains and not with the nodes.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/daemon/tests/early_hangup.rs
+++ b/crates/daemon/tests/early_hangup.rs
@@ -1,7 +1,7 @@
 //! A SIGHUP during the start of a node must not end the node. If the handler is installed only after the settings are
 //! read and the async runtime is up, a SIGHUP before that ends the process. On a machine full of other work, nodes that
-//! had been started 0.2 to 0.9 s before ended that way (`ExitStatus(unix_wait_status(1))`), in 2 of 12 soak tests beside
-//! 32 and 40 busy processes.
+//! had been started 0.2 to 0.9 s before ended that way (`Ended node 0 run 2: while it started:
+//! ExitStatus(unix_wait_status(1))`), in 2 of 12 soak tests beside 32 and 40 busy processes.
 //!
 //! Here the settings come through a pipe, so the signal reaches the node while it reads them.
 
@@ -68,8 +68,8 @@
     assert!(status.success(), "{status}");
 }
 
-/// Covers the whole start, including the time before the program's first instruction, in which only the parent process can
-/// keep SIGHUP from ending it: a child inherits an ignored signal. The node handles SIGHUP again once it runs.
+/// Covers the whole start, including the time before the program's first instruction, in which only the parent process
+/// can keep SIGHUP from ending it: a child inherits an ignored signal. The node handles SIGHUP again once it runs.
 #[test]
 fn a_node_started_with_sighup_ignored_reloads_its_settings_on_a_later_sighup() {
     let dir = TestDir::make();
--- a/crates/daemon/tests/route_settings.rs
+++ b/crates/daemon/tests/route_settings.rs
@@ -1,4 +1,5 @@
-//! Settings of a node that serves routes: missing, malformed and out-of-range settings are reported, unknown ones ignored.
+//! Settings of a node that serves routes: missing, malformed and out-of-range settings are reported, unknown ones
+//! ignored.
 
 use insta::assert_snapshot;
 use streamfold_daemon::route_node::parse;
