--- a/crates/daemon/src/caller_error.rs
+++ b/crates/daemon/src/caller_error.rs
@@ -18,7 +18,7 @@
     #[error("the bearer token is missing or unknown")]
     UnknownCaller,
     /// The caller has no access to the index.
-    #[error("caller {0} has no access to index {1}")]
+    #[error("caller {0} may not reach index {1}")]
     Forbidden(String, IndexName),
     /// The index does not exist.
     #[error("index {0:?} does not exist")]
@@ -51,7 +51,7 @@
     #[error("the caller is over its rate")]
     OverRate(Duration),
     /// The node has more work than it can finish in time; the caller may retry after this time.
-    #[error("this node has more work than it can finish in time")]
+    #[error("there is more work than can be done in time")]
     Overloaded(Duration),
     /// The caller has too many requests running or queued.
     #[error("the caller has too many requests running")]
@@ -63,10 +63,10 @@
     #[error("this node has no configuration yet")]
     NoConfiguration,
     /// No server has reported its index versions.
-    #[error("no server of the index has reported which versions it holds")]
+    #[error("no server of the index has told which versions it holds")]
     NoVersion,
     /// The handler panicked; it may have sent calls before that.
-    #[error("this node failed while it handled the request, which may have run")]
+    #[error("this node failed over the request, which may have run")]
     NodeFault,
     /// An order has no result; includes a ticket if a retry with a ticket can succeed.
     #[error("the order gave no result: {0}")]
--- a/crates/daemon/src/wire.rs
+++ b/crates/daemon/src/wire.rs
@@ -143,13 +143,13 @@
         let text = match self {
             Self::Missing(reason) => return write!(f, "its shard cannot run it now: {reason}"),
             Self::OutcomeUnknown => "its answer was lost, so it may have run",
-            Self::AlreadyTaken => "its key was used before, and the outcome of that use is not remembered",
+            Self::AlreadyTaken => "its key was used before and that use's outcome is not remembered here",
             Self::BadTicket => "the ticket is forged or another caller's",
             Self::Expired => "the ticket has expired, and no outcome is remembered for it",
             Self::MinterGone => "the node that minted its ticket cannot be reached, so it may have run",
             Self::Stopping => "the node that minted its ticket is stopping",
             Self::ClaimFailed => "its key cannot be claimed in the store now; use the ticket given here",
-            Self::Full => "the node's table of remembered keys is full",
+            Self::Full => "the node remembers as many keys as it may",
         };
         f.write_str(text)
     }
