--- a/crates/policy/tests/entry_gate.rs
+++ b/crates/policy/tests/entry_gate.rs
@@ -192,7 +192,7 @@
         belief.note_overdue(now, started);
         belief.finish(now, started, CallSample::Abandoned);
         let outlook = belief.estimate_finish(now, WORK, SLOW_PERIOD);
-        observed.push(format!("{:?} words {}", outlook.finish, outlook.observations));
+        observed.push(format!("{:?} reports {}", outlook.finish, outlook.observations));
         now = now.plus(outlook.finish);
         assert_eq!(belief.estimate_finish(now, WORK, SLOW_PERIOD), ServerEstimate::UNKNOWN);
     }
