--- a/crates/policy/tests/recent_work.rs
+++ b/crates/policy/tests/recent_work.rs
@@ -38,7 +38,7 @@
     work.note_end(at(0), popular, true);
     work.note_start(popular);
     work.note_start(new);
-    assert_eq!(work.suspects(at(100)), [popular, new], "it may still end under the first");
+    assert_eq!(work.suspects(at(100)), [popular, new], "the first call of the content may still crash the server");
     assert_eq!(work.suspects(at(0).plus(SURVIVAL_DELAY)), [new]);
 }
 
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -261,5 +261,5 @@
     assert!(matches!(gate.admit(Moment(1), &request("modest"), "modest"), Admission::Displaced(_, "greedy")));
     let caller = "greedy".parse().expect("a name");
     let started = gate.finish(Moment(2), &caller, Duration::from_millis(1), WorkReport::default());
-    assert_eq!(started[0].1, "modest", "the caller with the fewest running is next");
+    assert_eq!(started[0].1, "modest", "the caller with the fewest running requests is next");
 }
