--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -6,7 +6,7 @@
 
 use crate::fleet::{Fleet, FleetError, INDEX, TOKEN};
 use crate::fleet_plan::FleetPlan;
-use crate::load::{self, GOOD_WITHIN, LoadPlan, LoadReport};
+use crate::load::{self, DEFAULT_LATENCY_GOAL, LoadPlan, LoadReport};
 
 /// Queries a second in the demo's load.
 const RATE: f64 = 200.0;
@@ -21,7 +21,7 @@
     println!("Starting a platform, 2 failure domains with 2 nodes each, and 20 upstreams of 2 servers.");
     let mut fleet = Fleet::start(FleetPlan::default()).await?;
     println!("The configuration is in force on all nodes. One query over {} shards:\n", fleet.shards());
-    let entry = fleet.callers()[0];
+    let entry = fleet.caller_addresses()[0];
     if let Some(answer) = fleet.query(entry).await {
         print_answer(&answer);
     }
@@ -47,13 +47,13 @@
 
 fn load_plan(fleet: &Fleet) -> LoadPlan {
     LoadPlan {
-        nodes: fleet.callers(),
+        nodes: fleet.caller_addresses(),
         index: INDEX.to_owned(),
         token: TOKEN.to_owned(),
         rate: RATE,
-        time: TIME,
+        duration: TIME,
         headers: Vec::new(),
-        good_within: GOOD_WITHIN,
+        latency_goal: DEFAULT_LATENCY_GOAL,
     }
 }
 
@@ -85,7 +85,7 @@
         let addresses = node.addresses;
         println!("  {:<10} callers {}  operators {}", node.name, addresses.callers, addresses.operators);
     }
-    let (callers, operators) = (fleet.callers()[0], fleet.nodes[0].addresses.operators);
+    let (callers, operators) = (fleet.caller_addresses()[0], fleet.nodes[0].addresses.operators);
     println!("\n  streamfold query --callers {callers} --token {TOKEN} {INDEX} '{{\"find\":\"cart 17\"}}'");
     println!("  streamfold status --operators {operators}");
     // Without a signal handler the demo just ends.
--- a/crates/lab/src/experiments/apply.rs
+++ b/crates/lab/src/experiments/apply.rs
@@ -111,7 +111,7 @@
 
 async fn run_policy() -> Result<Value, FleetError> {
     let mut plan = three_domains(6, PolicyChoice::Adaptive);
-    plan.processes = true;
+    plan.has_processes = true;
     let mut fleet = Fleet::start(plan).await?;
     fleet.platform.state.faults.lost_answers.store(LOST_ANSWERS, Ordering::Relaxed);
     let operators: Vec<SocketAddr> = fleet.nodes.iter().map(|node| node.addresses.operators).collect();
--- a/crates/lab/src/experiments/cost.rs
+++ b/crates/lab/src/experiments/cost.rs
@@ -14,7 +14,7 @@
 use super::ExperimentReport;
 use crate::fleet::{Fleet, FleetError, INDEX, NodeHandle, TOKEN};
 use crate::fleet_plan::{DomainPlan, FleetPlan};
-use crate::load::{self, GOOD_WITHIN, LoadPlan};
+use crate::load::{self, DEFAULT_LATENCY_GOAL, LoadPlan};
 use crate::server::ServerPlan;
 use crate::usage;
 
@@ -46,7 +46,7 @@
         0 => vec![domain("vienna", entry_upstreams)],
         _ => vec![domain("vienna", entry_upstreams), domain("tyrol", far_upstreams)],
     };
-    FleetPlan { domains, servers: 2, shards, server: fast_server(), processes: true, ..FleetPlan::default() }
+    FleetPlan { domains, servers: 2, shards, server: fast_server(), has_processes: true, ..FleetPlan::default() }
 }
 
 /// The processes of a fleet's nodes.
@@ -60,12 +60,12 @@
 }
 
 /// Processor time that processes have used.
-pub fn cpu_of(pids: &[u32]) -> Duration {
+pub fn total_cpu_time(pids: &[u32]) -> Duration {
     pids.iter().filter_map(|pid| usage::read(*pid)).map(|used| used.cpu).sum()
 }
 
 /// Resident memory of each process, in KB.
-pub fn memory_of(pids: &[u32]) -> Vec<u64> {
+pub fn resident_memory_kb(pids: &[u32]) -> Vec<u64> {
     pids.iter().filter_map(|pid| usage::read(*pid)).map(|used| used.memory >> 10).collect()
 }
 
@@ -98,24 +98,24 @@
 /// One shape of fleet: capacity, processor time a shard call, memory, latency at a third.
 async fn measure(plan: FleetPlan) -> Result<Value, FleetError> {
     let fleet = Fleet::start(plan).await?;
-    let entry = fleet.callers()[0];
+    let entry = fleet.caller_addresses()[0];
     let pids = pids(&fleet);
-    let idle_kb = memory_of(&pids);
+    let idle_kb = resident_memory_kb(&pids);
     saturate(&fleet, entry, CONCURRENCY).await;
-    let before = cpu_of(&pids);
+    let before = total_cpu_time(&pids);
     let start = Instant::now();
     let rate = saturate(&fleet, entry, CONCURRENCY).await;
-    let cpu = (cpu_of(&pids) - before).as_secs_f64();
+    let cpu = (total_cpu_time(&pids) - before).as_secs_f64();
     let shard_calls = rate * start.elapsed().as_secs_f64() * fleet.shards() as f64;
-    let busy_kb = memory_of(&pids);
+    let busy_kb = resident_memory_kb(&pids);
     let load_plan = LoadPlan {
         nodes: vec![entry],
         index: INDEX.to_owned(),
         token: TOKEN.to_owned(),
         rate: rate * LATENCY_SHARE,
-        time: TIME,
+        duration: TIME,
         headers: Vec::new(),
-        good_within: GOOD_WITHIN,
+        latency_goal: DEFAULT_LATENCY_GOAL,
     };
     let report = load::run(&fleet.client, &load_plan).await;
     let found = json!({
@@ -140,15 +140,15 @@
 ///
 /// # Errors
 /// The fleet did not come up.
-pub async fn cpu_a_query(plan: FleetPlan) -> Result<f64, FleetError> {
+pub async fn cpu_per_query(plan: FleetPlan) -> Result<f64, FleetError> {
     let fleet = Fleet::start(plan).await?;
-    let entry = fleet.callers()[0];
+    let entry = fleet.caller_addresses()[0];
     let pids = pids(&fleet);
-    let before = cpu_of(&pids);
+    let before = total_cpu_time(&pids);
     let start = Instant::now();
     let rate = saturate(&fleet, entry, CONCURRENCY).await;
     let queries = rate * start.elapsed().as_secs_f64();
-    let used = (cpu_of(&pids) - before).as_secs_f64();
+    let used = (total_cpu_time(&pids) - before).as_secs_f64();
     fleet.stop().await;
     Ok(used / queries * 1e6)
 }
--- a/crates/lab/src/experiments/crossed.rs
+++ b/crates/lab/src/experiments/crossed.rs
@@ -33,8 +33,8 @@
 async fn trial(policy: PolicyChoice, queries: f64) -> Result<Value, FleetError> {
     let mut plan = three_domains(9, policy);
     plan.domains = ["vienna", "tyrol"].map(|name| DomainPlan { name, nodes: 2, upstreams: 4 }).to_vec();
-    plan.processes = true;
-    plan.proxied = true;
+    plan.has_processes = true;
+    plan.has_proxies = true;
     let fleet = Fleet::start(plan).await?;
     for server in fleet.all_servers() {
         server.state.switches.crossed.store(CROSSED, Ordering::Relaxed);
@@ -46,8 +46,8 @@
         faults.delay_us.store(DELAY_US, Ordering::Relaxed);
     }
     let breaking = tokio::spawn(break_connections(all));
-    let time = Duration::from_secs_f64(queries / RATE);
-    let figures = measure(&fleet, &load_on(&fleet, RATE, time)).await;
+    let duration = Duration::from_secs_f64(queries / RATE);
+    let figures = measure(&fleet, &load_on(&fleet, RATE, duration)).await;
     breaking.abort();
     fleet.stop().await;
     let report = &figures.report;
--- a/crates/lab/src/experiments/freeze.rs
+++ b/crates/lab/src/experiments/freeze.rs
@@ -30,12 +30,12 @@
 
 async fn trial(policy: PolicyChoice) -> Result<Value, FleetError> {
     let mut plan = three_domains(UPSTREAMS, policy);
-    plan.processes = true;
+    plan.has_processes = true;
     plan.deadline = "500ms";
     plan.settings = "lame_duck: 100ms\ngrace: 5s\nheartbeat: 250ms\n".to_owned();
     let fleet = start_warm(plan, RATE).await?;
     // The balancer has taken the nodes that freeze out, so that only their owning is felt.
-    let nodes = fleet.callers().into_iter().enumerate().filter(|(number, _)| ![2, 3].contains(number));
+    let nodes = fleet.caller_addresses().into_iter().enumerate().filter(|(number, _)| ![2, 3].contains(number));
     let load_plan = LoadPlan { nodes: nodes.map(|(_, node)| node).collect(), ..load_on(&fleet, RATE, TIME) };
     let client = fleet.client.clone();
     let running = tokio::spawn(async move { load::run(&client, &load_plan).await });
--- a/crates/lab/src/experiments/once.rs
+++ b/crates/lab/src/experiments/once.rs
@@ -29,15 +29,15 @@
 fn plan(policy: PolicyChoice) -> FleetPlan {
     let mut plan = three_domains(8, policy);
     plan.domains = ["vienna", "tyrol"].map(|name| DomainPlan { name, nodes: 3, upstreams: 4 }).to_vec();
-    plan.processes = true;
-    plan.proxied = true;
+    plan.has_processes = true;
+    plan.has_proxies = true;
     plan.deadline = "2s";
     plan.settings.push_str("claim_rate: 100\n");
     plan
 }
 
 async fn make_keys(fleet: &Fleet, sender: &OrderSender) -> Vec<String> {
-    let nodes = fleet.callers();
+    let nodes = fleet.caller_addresses();
     let tickets = (ORDERS as f64 * TICKET_SHARE) as usize;
     let mut keys = Vec::new();
     for node in &nodes {
@@ -80,7 +80,7 @@
     let mut fleet = Fleet::start(plan(PolicyChoice::Adaptive)).await?;
     let sender = OrderSender::new(fleet.client.clone());
     let keys = make_keys(&fleet, &sender).await;
-    let nodes = fleet.callers();
+    let nodes = fleet.caller_addresses();
     let running = tokio::spawn({
         let sender = sender.clone();
         async move { sender.run(&nodes, keys, RATE).await }
--- a/crates/lab/src/experiments/outage.rs
+++ b/crates/lab/src/experiments/outage.rs
@@ -45,12 +45,12 @@
 
 async fn trial(policy: PolicyChoice) -> Result<Value, FleetError> {
     let mut plan = three_domains(UPSTREAMS, policy);
-    plan.processes = true;
+    plan.has_processes = true;
     let mut fleet = start_warm(plan, RATE).await?;
     let before = measure(&fleet, &load_on(&fleet, RATE, BEFORE)).await;
     fleet.platform.state.faults.outage.store(true, Ordering::Relaxed);
     // The balancer has taken out the nodes that are killed.
-    let nodes = fleet.callers().into_iter().enumerate().filter(|(number, _)| ![1, 3].contains(number));
+    let nodes = fleet.caller_addresses().into_iter().enumerate().filter(|(number, _)| ![1, 3].contains(number));
     let load_plan = LoadPlan { nodes: nodes.map(|(_, node)| node).collect(), ..load_on(&fleet, RATE, OUTAGE * 2) };
     let client = fleet.client.clone();
     let running = tokio::spawn(async move { load::run(&client, &load_plan).await });
--- a/crates/lab/src/experiments/overload.rs
+++ b/crates/lab/src/experiments/overload.rs
@@ -43,7 +43,7 @@
 }
 
 fn caller_load(fleet: &Fleet, token: &str, rate: f64) -> LoadPlan {
-    LoadPlan { token: token.to_owned(), good_within: DEADLINE, ..load_on(fleet, rate, TIME) }
+    LoadPlan { token: token.to_owned(), latency_goal: DEADLINE, ..load_on(fleet, rate, TIME) }
 }
 
 async fn run_loads(fleet: &Fleet, greedy_rate: f64, modest_rate: f64) -> (LoadReport, Vec<LoadReport>) {
@@ -88,11 +88,11 @@
     plan.deadline = "200ms";
     plan.callers = MODEST.to_vec();
     if let Some(user) = user {
-        user.shape(&mut plan);
+        user.configure(&mut plan);
     }
     let fleet = start_warm(plan, CAPACITY * 0.3).await?;
     if let Some(user) = user {
-        user.delay(&fleet);
+        user.set_delay(&fleet);
     }
     fleet.log.keep_requests();
     let mut figures = Vec::new();
--- a/crates/lab/src/experiments/snapshot.rs
+++ b/crates/lab/src/experiments/snapshot.rs
@@ -44,8 +44,8 @@
     let fleet = Fleet::start(plan).await?;
     let servers = fleet.all_servers().map(|server| server.state.clone()).collect();
     let advancing = tokio::spawn(advance(servers));
-    let time = Duration::from_secs_f64(queries / RATE);
-    let figures = measure(&fleet, &load_on(&fleet, RATE, time)).await;
+    let duration = Duration::from_secs_f64(queries / RATE);
+    let figures = measure(&fleet, &load_on(&fleet, RATE, duration)).await;
     advancing.abort();
     let reached = fleet.all_servers().map(|server| server.state.switches.newest.load(Ordering::Relaxed)).max();
     fleet.stop().await;
--- a/crates/lab/src/experiments/stop.rs
+++ b/crates/lab/src/experiments/stop.rs
@@ -36,7 +36,7 @@
 ) -> [u64; 5] {
     let mut sums = [0; 5];
     while Instant::now() < until {
-        let plan = LoadPlan { nodes: listed(&list), time: SLICE, ..base.clone() };
+        let plan = LoadPlan { nodes: listed(&list), duration: SLICE, ..base.clone() };
         let report = load::run(&client, &plan).await;
         let found = [report.requests, report.whole, report.failed, report.unknown, report.broken];
         for (sum, found) in sums.iter_mut().zip(found) {
@@ -77,13 +77,13 @@
 async fn trial(is_planned: bool) -> Result<Value, FleetError> {
     let mut plan = three_domains(8, PolicyChoice::Adaptive);
     plan.domains = ["vienna", "tyrol"].map(|name| DomainPlan { name, nodes: 2, upstreams: 4 }).to_vec();
-    plan.processes = true;
+    plan.has_processes = true;
     // Longer than the balancer's lag and its slice of load, as an operator would set it.
     let lame_duck = if is_planned { "2s" } else { "0s" };
     let grace = if is_planned { "10s" } else { "0s" };
     plan.settings = format!("lame_duck: {lame_duck}\ngrace: {grace}\nheartbeat: 100ms\n");
     let mut fleet = Fleet::start(plan).await?;
-    let list: BalancerList = Arc::new(Mutex::new(fleet.callers()));
+    let list: BalancerList = Arc::new(Mutex::new(fleet.caller_addresses()));
     let until = Instant::now() + Duration::from_secs(16);
     let base = load_on(&fleet, QUERY_RATE, SLICE);
     let queries = tokio::spawn(load_queries(fleet.client.clone(), base, list.clone(), until));
--- a/crates/lab/src/experiments/straggler.rs
+++ b/crates/lab/src/experiments/straggler.rs
@@ -25,11 +25,11 @@
     let mut plan = three_domains(UPSTREAMS, policy);
     plan.deadline = "2s";
     if let Some(user) = user {
-        user.shape(&mut plan);
+        user.configure(&mut plan);
     }
     let fleet = start_warm(plan, RATE).await?;
     if let Some(user) = user {
-        user.delay(&fleet);
+        user.set_delay(&fleet);
     }
     for server in fleet.all_servers() {
         server.state.switches.straggle_factor.store(FACTOR, Ordering::Relaxed);
--- a/crates/lab/src/experiments/trial.rs
+++ b/crates/lab/src/experiments/trial.rs
@@ -8,7 +8,7 @@
 
 use crate::fleet::{Fleet, FleetError, INDEX, TOKEN};
 use crate::fleet_plan::{DomainPlan, FleetPlan};
-use crate::load::{self, GOOD_WITHIN, LoadPlan, LoadReport};
+use crate::load::{self, DEFAULT_LATENCY_GOAL, LoadPlan, LoadReport};
 
 /// Figures of one fleet under one load.
 #[derive(Debug, Clone, Serialize)]
@@ -49,16 +49,16 @@
 
 impl UserFleet {
     /// Shapes a plan like this user's fleet; its nodes then stand behind proxies.
-    pub fn shape(&self, plan: &mut FleetPlan) {
+    pub fn configure(&self, plan: &mut FleetPlan) {
         plan.prefer = self.prefer;
         plan.prefer_within = self.prefer_within;
-        plan.proxied = true;
+        plan.has_proxies = true;
     }
 
     /// Puts the delay between regions on the links between nodes of different ones. A link
     /// within a region is told apart by its proxy no more than by its node, so links within a
     /// region are delayed too; that makes the fleet slower than the user's, never faster.
-    pub fn delay(&self, fleet: &Fleet) {
+    pub fn set_delay(&self, fleet: &Fleet) {
         for proxy in fleet.nodes.iter().filter_map(|node| node.proxy.as_ref()) {
             proxy.faults.delay_us.store(self.delay.as_micros() as u64, Ordering::Relaxed);
         }
@@ -66,15 +66,15 @@
 }
 
 /// A load on all nodes of a fleet.
-pub fn load_on(fleet: &Fleet, rate: f64, time: Duration) -> LoadPlan {
+pub fn load_on(fleet: &Fleet, rate: f64, duration: Duration) -> LoadPlan {
     LoadPlan {
-        nodes: fleet.callers(),
+        nodes: fleet.caller_addresses(),
         index: INDEX.to_owned(),
         token: TOKEN.to_owned(),
         rate,
-        time,
+        duration,
         headers: Vec::new(),
-        good_within: GOOD_WITHIN,
+        latency_goal: DEFAULT_LATENCY_GOAL,
     }
 }
 
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -121,7 +121,7 @@
 
 impl FleetNode {
     /// Where other nodes reach it.
-    pub fn peers(&self) -> SocketAddr {
+    pub fn peer_address(&self) -> SocketAddr {
         self.proxy.as_ref().map_or(self.addresses.peers, |proxy| proxy.address)
     }
 
@@ -151,7 +151,7 @@
             servers.push(group);
         }
         let mut proxies = Vec::new();
-        if plan.proxied {
+        if plan.has_proxies {
             for server in servers.iter().flatten().flatten() {
                 proxies.push(proxy::start(any_port(), server.address).await.map_err(io("a proxy"))?);
             }
@@ -174,13 +174,13 @@
     /// # Errors
     /// It cannot start.
     pub async fn add_node(&mut self, domain: &'static str, name: &str) -> Result<usize, FleetError> {
-        let seeds: Vec<String> = self.running().map(|node| node.peers().to_string()).collect();
+        let seeds: Vec<String> = self.running().map(|node| node.peer_address().to_string()).collect();
         let policy = match self.plan.policy {
             PolicyChoice::Adaptive => "adaptive",
             PolicyChoice::Baseline => "baseline",
         };
         let any = any_port();
-        let proxy = match self.plan.proxied {
+        let proxy = match self.plan.has_proxies {
             true => Some(proxy::start(any, any).await.map_err(io("a proxy"))?),
             false => None,
         };
@@ -192,7 +192,7 @@
             seeds.join(", "),
             self.plan.settings
         );
-        let (addresses, handle) = match self.plan.processes {
+        let (addresses, handle) = match self.plan.has_processes {
             false => start_local(&text).await?,
             true => start_process(name, &text).await?,
         };
@@ -209,7 +209,7 @@
     }
 
     /// Callers' ports of the nodes that were not stopped.
-    pub fn callers(&self) -> Vec<SocketAddr> {
+    pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.running().map(|node| node.addresses.callers).collect()
     }
 
--- a/crates/lab/src/fleet_plan.rs
+++ b/crates/lab/src/fleet_plan.rs
@@ -40,13 +40,13 @@
     /// The caller's deadline.
     pub deadline: &'static str,
     /// Whether nodes run as processes of their own.
-    pub processes: bool,
+    pub has_processes: bool,
     /// Callers besides the first; the token of each is its name.
     pub callers: Vec<&'static str>,
     /// From this index version on, every upstream has twice the shards.
     pub repartition_at: Option<u64>,
     /// Whether servers and nodes' peers' ports stand behind fault proxies.
-    pub proxied: bool,
+    pub has_proxies: bool,
     /// Settings lines besides, for every node.
     pub settings: String,
 }
@@ -65,10 +65,10 @@
             prefer: "coverage",
             prefer_within: None,
             deadline: "1s",
-            processes: false,
+            has_processes: false,
             callers: Vec::new(),
             repartition_at: None,
-            proxied: false,
+            has_proxies: false,
             settings: "lame_duck: 200ms\ngrace: 10s\nheartbeat: 100ms\n".to_owned(),
         }
     }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -19,7 +19,7 @@
 const GIVE_UP: Duration = Duration::from_secs(10);
 
 /// What counts as good where an experiment says nothing else.
-pub const GOOD_WITHIN: Duration = Duration::from_secs(1);
+pub const DEFAULT_LATENCY_GOAL: Duration = Duration::from_secs(1);
 
 /// What to send.
 #[derive(Debug, Clone)]
@@ -33,11 +33,11 @@
     /// Requests a second.
     pub rate: f64,
     /// For how long.
-    pub time: Duration,
+    pub duration: Duration,
     /// Headers besides.
     pub headers: Vec<(&'static str, String)>,
     /// Answers later than this do not count as good.
-    pub good_within: Duration,
+    pub latency_goal: Duration,
 }
 
 /// What came of a load.
@@ -78,7 +78,7 @@
     answered: u64,
     whole: u64,
     good: u64,
-    good_within: Duration,
+    latency_goal: Duration,
     refusals: Vec<RequestId>,
     unknown: u64,
     failed: u64,
@@ -88,7 +88,7 @@
 }
 
 impl LoadSums {
-    fn new(good_within: Duration) -> Self {
+    fn new(latency_goal: Duration) -> Self {
         // Three digits up to a minute always make a histogram.
         #[allow(clippy::unwrap_used)]
         let latencies = Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).unwrap();
@@ -98,7 +98,7 @@
             answered: 0,
             whole: 0,
             good: 0,
-            good_within,
+            latency_goal,
             refusals: Vec::new(),
             unknown: 0,
             failed: 0,
@@ -134,7 +134,7 @@
         self.answered += 1;
         let is_whole = query.coverage.missing.is_empty();
         self.whole += u64::from(is_whole);
-        self.good += u64::from(is_whole && latency <= self.good_within);
+        self.good += u64::from(is_whole && latency <= self.latency_goal);
         self.shards += query.coverage.shards as u64;
         self.covered += query.coverage.answered as u64;
         self.broken += u64::from(is_broken(&query));
@@ -186,8 +186,8 @@
 
 /// Runs a load to its end and reports.
 pub async fn run(client: &LabClient, plan: &LoadPlan) -> LoadReport {
-    let sums = Arc::new(Mutex::new(LoadSums::new(plan.good_within)));
-    let total = (plan.rate * plan.time.as_secs_f64()) as u64;
+    let sums = Arc::new(Mutex::new(LoadSums::new(plan.latency_goal)));
+    let total = (plan.rate * plan.duration.as_secs_f64()) as u64;
     let start = Instant::now();
     let authorization = format!("Bearer {}", plan.token);
     let mut running = tokio::task::JoinSet::new();
--- a/crates/lab/src/slopes.rs
+++ b/crates/lab/src/slopes.rs
@@ -94,14 +94,14 @@
     tokio::time::sleep(SETTLE).await;
     let pids = cost::pids(&fleet);
     let nodes = pids.len() as f64;
-    let (cpu, gossip) = (cost::cpu_of(&pids), read_metric(&fleet, "streamfold_gossip_bytes_total").await);
+    let (cpu, gossip) = (cost::total_cpu_time(&pids), read_metric(&fleet, "streamfold_gossip_bytes_total").await);
     let calls = store_calls(&fleet);
     let start = Instant::now();
     tokio::time::sleep(watch).await;
     let span = start.elapsed().as_secs_f64();
     let found = IdleCost {
-        cpu_share: (cost::cpu_of(&pids) - cpu).as_secs_f64() / span / nodes,
-        memory_kb: cost::memory_of(&pids).iter().sum::<u64>() as f64 / nodes,
+        cpu_share: (cost::total_cpu_time(&pids) - cpu).as_secs_f64() / span / nodes,
+        memory_kb: cost::resident_memory_kb(&pids).iter().sum::<u64>() as f64 / nodes,
         gossip_bytes: (read_metric(&fleet, "streamfold_gossip_bytes_total").await - gossip) / span / nodes,
         store_calls: (store_calls(&fleet) - calls) / span,
     };
@@ -113,7 +113,7 @@
     let domain = |name: &&'static str| DomainPlan { name, nodes, upstreams };
     FleetPlan {
         domains: domains.iter().map(domain).collect(),
-        processes: true,
+        has_processes: true,
         settings: "lame_duck: 100ms\ngrace: 5s\n".to_owned(),
         ..FleetPlan::default()
     }
@@ -162,19 +162,19 @@
 async fn data_slopes(fits: &mut Vec<SlopeFit>) -> Result<(), FleetError> {
     let mut points = Vec::new();
     for upstreams in [5, 10, 20, 40] {
-        let value = cost::cpu_a_query(cost::plan(upstreams, 0, 1)).await?;
+        let value = cost::cpu_per_query(cost::plan(upstreams, 0, 1)).await?;
         points.push(SlopePoint { size: upstreams as f64, value });
     }
     fits.push(fit("CPU of a query at its entry and owner, us", "servers called, one hop", points));
     let mut points = Vec::new();
     for upstreams in [5, 10, 20, 40] {
-        let value = cost::cpu_a_query(cost::plan(1, upstreams, 1)).await?;
+        let value = cost::cpu_per_query(cost::plan(1, upstreams, 1)).await?;
         points.push(SlopePoint { size: upstreams as f64, value });
     }
     fits.push(fit("CPU of a query at its entry and owner, us", "servers called, two hops in one batch", points));
     let mut points = Vec::new();
     for shards in [1, 4, 16, 64] {
-        let value = cost::cpu_a_query(cost::plan(10, 0, shards)).await?;
+        let value = cost::cpu_per_query(cost::plan(10, 0, shards)).await?;
         points.push(SlopePoint { size: shards as f64 * 10.0, value });
     }
     fits.push(fit("CPU of a query at its entry and owner, us", "shards on 10 servers", points));
--- a/crates/lab/src/wait.rs
+++ b/crates/lab/src/wait.rs
@@ -3,16 +3,16 @@
 use std::time::{Duration, Instant};
 
 /// How long a condition may take to hold; only a hung test waits so long.
-pub const WAIT_AT_MOST: Duration = Duration::from_secs(30);
+pub const MAX_WAIT: Duration = Duration::from_secs(30);
 /// How often a condition is looked at.
 const LOOK_EVERY: Duration = Duration::from_millis(10);
 
 /// Waits until a condition holds.
 ///
 /// # Panics
-/// It does not within [`WAIT_AT_MOST`].
+/// It does not within [`MAX_WAIT`].
 pub async fn wait_for(what: &str, holds: impl AsyncFnMut() -> bool) {
-    wait_within(WAIT_AT_MOST, what, holds).await;
+    wait_within(MAX_WAIT, what, holds).await;
 }
 
 /// Waits until a condition holds, at most so long.
--- a/crates/lab/tests/faults.rs
+++ b/crates/lab/tests/faults.rs
@@ -10,10 +10,10 @@
 use streamfold_lab::client::CallAnswer;
 use streamfold_lab::fleet::{Fleet, INDEX, NodeHandle, TOKEN};
 use streamfold_lab::fleet_plan::{DomainPlan, FleetPlan};
-use streamfold_lab::load::{self, GOOD_WITHIN, LoadPlan, LoadReport};
+use streamfold_lab::load::{self, DEFAULT_LATENCY_GOAL, LoadPlan, LoadReport};
 use streamfold_lab::orders::OrderSender;
 use streamfold_lab::proxy;
-use streamfold_lab::wait::{WAIT_AT_MOST, wait_for};
+use streamfold_lab::wait::{MAX_WAIT, wait_for};
 use streamfold_model::operator::ApplyRequest;
 use streamfold_model::{ChangeId, ConfigVersion, HeadRecord, MissingReason, SourceFile};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -24,21 +24,21 @@
     let domain = |name| DomainPlan { name, nodes: 2, upstreams: 3 };
     FleetPlan {
         domains: vec![domain("vienna"), domain("tyrol")],
-        processes: true,
-        proxied: true,
+        has_processes: true,
+        has_proxies: true,
         ..FleetPlan::default()
     }
 }
 
 async fn run_load(fleet: &Fleet, rate: f64, seconds: u64) -> LoadReport {
     let plan = LoadPlan {
-        nodes: fleet.callers(),
+        nodes: fleet.caller_addresses(),
         index: INDEX.to_owned(),
         token: TOKEN.to_owned(),
         rate,
-        time: Duration::from_secs(seconds),
+        duration: Duration::from_secs(seconds),
         headers: Vec::new(),
-        good_within: GOOD_WITHIN,
+        latency_goal: DEFAULT_LATENCY_GOAL,
     };
     load::run(&fleet.client, &plan).await
 }
@@ -61,9 +61,9 @@
 async fn an_order_delivered_twice_runs_once() {
     let fleet = Fleet::start(plan()).await.expect("a fleet");
     let sender = OrderSender::new(fleet.client.clone());
-    let mut keys = sender.mint(fleet.callers()[0], 30).await;
+    let mut keys = sender.mint(fleet.caller_addresses()[0], 30).await;
     keys.extend((0..20).map(|number| format!("own-{number}")));
-    sender.run(&fleet.callers(), keys, 200.0).await;
+    sender.run(&fleet.caller_addresses(), keys, 200.0).await;
     let report = sender.report(&fleet.log);
     assert_eq!((report.orders, report.doubled, report.not_run_that_ran, report.ran_that_did_not), (50, 0, 0, 0));
     assert_eq!(report.ran, 50, "{report:?}");
@@ -140,7 +140,7 @@
     let report = run_load(&fleet, 100.0, 4).await;
     advancing.await.expect("the versions advanced");
     assert_eq!((report.requests, report.broken, report.failed), (400, 0, 0), "{report:?}");
-    let answer = fleet.query(fleet.callers()[0]).await.expect("an answer");
+    let answer = fleet.query(fleet.caller_addresses()[0]).await.expect("an answer");
     assert_eq!(answer.coverage.shards, 12, "the new layout has twice the shards");
     fleet.stop().await;
 }
@@ -155,7 +155,7 @@
     let told: Value = serde_json::from_slice(&refused.body).expect("JSON");
     let ticket = told["ticket"].as_str().expect("a ticket");
     assert_eq!(ran(&order(&fleet, 3, ticket).await), "ran");
-    let answer = fleet.query(fleet.callers()[0]).await.expect("an answer");
+    let answer = fleet.query(fleet.caller_addresses()[0]).await.expect("an answer");
     assert!(answer.coverage.missing.is_empty());
     fleet.stop().await;
 }
@@ -201,7 +201,7 @@
     let wanted = head.version;
     wait_for("the newest configuration everywhere", async || {
         let mut versions: Vec<ConfigVersion> = Vec::new();
-        for callers in fleet.callers() {
+        for callers in fleet.caller_addresses() {
             versions.extend(fleet.query(callers).await.map(|answer| answer.config_version));
         }
         versions == vec![wanted; 4]
@@ -220,13 +220,13 @@
         }
     };
     set_cut(true);
-    let answer = fleet.query(fleet.callers()[0]).await.expect("an answer");
+    let answer = fleet.query(fleet.caller_addresses()[0]).await.expect("an answer");
     assert_eq!((answer.coverage.shards, answer.coverage.answered), (6, 3));
     let reasons: Vec<MissingReason> = answer.coverage.missing.iter().map(|missing| missing.reason).collect();
     assert_eq!(reasons, [MissingReason::NoOwner; 3]);
     set_cut(false);
     wait_for("whole answers after the cut", async || {
-        let answer = fleet.query(fleet.callers()[0]).await;
+        let answer = fleet.query(fleet.caller_addresses()[0]).await;
         answer.is_some_and(|answer| answer.coverage.missing.is_empty())
     })
     .await;
@@ -243,7 +243,7 @@
         let mut stranger = tokio::net::TcpStream::connect(address).await.expect("a connection");
         stranger.write_all(garbage).await.expect("writing");
         let mut rest = Vec::new();
-        let closed = tokio::time::timeout(WAIT_AT_MOST, stranger.read_to_end(&mut rest)).await;
+        let closed = tokio::time::timeout(MAX_WAIT, stranger.read_to_end(&mut rest)).await;
         assert!(closed.is_ok(), "the link must be closed");
     }
     let report = run_load(&fleet, 50.0, 1).await;
--- a/crates/lab/tests/path.rs
+++ b/crates/lab/tests/path.rs
@@ -9,7 +9,7 @@
 use streamfold_lab::client::{CallAnswer, LabClient};
 use streamfold_lab::fleet::{Fleet, FleetError, INDEX, TOKEN};
 use streamfold_lab::fleet_plan::{DomainPlan, FleetPlan};
-use streamfold_lab::load::{self, GOOD_WITHIN, LoadPlan};
+use streamfold_lab::load::{self, DEFAULT_LATENCY_GOAL, LoadPlan};
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -18,11 +18,11 @@
 
 fn plan() -> FleetPlan {
     let domain = |name| DomainPlan { name, nodes: 2, upstreams: 3 };
-    FleetPlan { domains: vec![domain("vienna"), domain("tyrol")], processes: true, ..FleetPlan::default() }
+    FleetPlan { domains: vec![domain("vienna"), domain("tyrol")], has_processes: true, ..FleetPlan::default() }
 }
 
 async fn post(fleet: &Fleet, path: &str, headers: &[(&'static str, &str)], body: &[u8]) -> CallAnswer {
-    let address = fleet.callers()[0];
+    let address = fleet.caller_addresses()[0];
     let body = Bytes::copy_from_slice(body);
     LabClient::default().call(Method::POST, address, path, headers, body, CALL_TIMEOUT).await.expect("an answer")
 }
@@ -41,14 +41,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_query_is_whole_and_names_shards_that_are_missing() {
     let mut fleet = Fleet::start(plan()).await.expect("a fleet");
-    for callers in fleet.callers() {
+    for callers in fleet.caller_addresses() {
         let answer = fleet.query(callers).await.expect("an answer");
         assert_eq!((answer.coverage.shards, answer.coverage.answered), (6, 6));
         assert_eq!(answer.results.len(), 6);
     }
     fleet.kill_server(4, 0);
     fleet.kill_server(4, 1);
-    let answer = fleet.query(fleet.callers()[0]).await.expect("an answer");
+    let answer = fleet.query(fleet.caller_addresses()[0]).await.expect("an answer");
     assert_json_snapshot!(json!({ "coverage": answer.coverage, "shards": answer.results.keys().collect::<Vec<_>>() }));
     fleet.stop().await;
 }
@@ -90,7 +90,7 @@
         fleet.config.replace("slots: 2", "slots: 0").replace("prefer: coverage", "prefer: coverage\n    rate: 5/h");
     let refused = fleet.apply(&worse).await;
     assert!(matches!(refused, Err(FleetError::Apply(StatusCode::UNPROCESSABLE_ENTITY, _))), "{refused:?}");
-    for callers in fleet.callers() {
+    for callers in fleet.caller_addresses() {
         let answer = fleet.query(callers).await.expect("an answer");
         assert_eq!(answer.config_version.0, 1);
         assert!(answer.coverage.missing.is_empty());
@@ -104,13 +104,13 @@
     let mut fleet = Fleet::start(plan()).await.expect("a fleet");
     let stopping = fleet.nodes[1].handle.take().expect("a running node");
     let load_plan = LoadPlan {
-        nodes: fleet.callers(),
+        nodes: fleet.caller_addresses(),
         index: INDEX.to_owned(),
         token: TOKEN.to_owned(),
         rate: 100.0,
-        time: Duration::from_secs(3),
+        duration: Duration::from_secs(3),
         headers: Vec::new(),
-        good_within: GOOD_WITHIN,
+        latency_goal: DEFAULT_LATENCY_GOAL,
     };
     let load = tokio::spawn(async move { load::run(&LabClient::default(), &load_plan).await });
     tokio::time::sleep(Duration::from_secs(1)).await;
--- a/crates/lab/tests/relay.rs
+++ b/crates/lab/tests/relay.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use streamfold_lab::fleet::{pause_process, send_signal};
 use streamfold_lab::route_fleet::{DOMAINS, RouteFleet, RouteFleetPlan, RouteNode, write_route};
-use streamfold_lab::wait::{WAIT_AT_MOST, wait_for};
+use streamfold_lab::wait::{MAX_WAIT, wait_for};
 use streamfold_model::CoreShare;
 use streamfold_policy::reader_choice::{ReaderCandidate, choose_readers};
 use streamfold_standin::server::RouteServerPlan;
@@ -207,7 +207,7 @@
     let mut sum = 0;
     for position in (0..fleet.nodes.len()).filter(|position| Some(*position) != without) {
         let address = fleet.nodes[position].addresses.metrics;
-        let answer = fleet.client.call(Method::GET, address, "/metrics", &[], Bytes::new(), WAIT_AT_MOST).await;
+        let answer = fleet.client.call(Method::GET, address, "/metrics", &[], Bytes::new(), MAX_WAIT).await;
         let text = String::from_utf8(answer.expect("counters").body.to_vec()).expect("text");
         let line = text.lines().find(|line| line.starts_with("streamfold_relay_bytes_total{kind=\"begin\"}"));
         sum += line.and_then(|line| line.rsplit(' ').next()?.parse::<u64>().ok()).unwrap_or(0);
--- a/crates/lab/tests/routes.rs
+++ b/crates/lab/tests/routes.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use streamfold_lab::route_checks::{check_own, get, header, near, start_single, tell_refusal, to_service};
 use streamfold_lab::route_fleet::{HOST, RouteFleet, RouteFleetPlan, write_route};
-use streamfold_lab::wait::WAIT_AT_MOST;
+use streamfold_lab::wait::MAX_WAIT;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -28,7 +28,7 @@
     }
     let headers = [("host", "other.example"), ("x-request-id", "r-host")];
     let callers = fleet.nodes[0].addresses.callers;
-    let other = fleet.client.call(Method::GET, callers, "/a/x", &headers, Bytes::new(), WAIT_AT_MOST).await;
+    let other = fleet.client.call(Method::GET, callers, "/a/x", &headers, Bytes::new(), MAX_WAIT).await;
     seen.push(format!("another host: {}", other.expect("an answer").status.as_u16()));
     insta::assert_snapshot!(seen.join("\n"));
 }
@@ -147,7 +147,7 @@
     let mut stream = TcpStream::connect(fleet.nodes[0].addresses.callers).await.expect("a connection");
     stream.write_all(request).await.expect("a sent request");
     let mut answer = Vec::new();
-    let read = tokio::time::timeout(WAIT_AT_MOST, stream.read_to_end(&mut answer)).await;
+    let read = tokio::time::timeout(MAX_WAIT, stream.read_to_end(&mut answer)).await;
     assert!(read.is_ok(), "the connection is to be closed");
     String::from_utf8_lossy(&answer).into_owned()
 }
--- a/crates/lab/tests/routes_alone.rs
+++ b/crates/lab/tests/routes_alone.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use streamfold_lab::fleet::send_signal;
 use streamfold_lab::route_fleet::{DOMAINS, HOST, RouteFleet, RouteFleetPlan, write_route};
-use streamfold_lab::wait::{WAIT_AT_MOST, wait_for};
+use streamfold_lab::wait::{MAX_WAIT, wait_for};
 use streamfold_standin::server::RouteServerPlan;
 use tokio::net::TcpStream;
 
@@ -72,9 +72,10 @@
     let callers = fleet.nodes[0].addresses.callers;
     let headers = [("host", HOST), ("x-request-id", "r-last"), ("x-deadline-ms", "8000")];
     let client = fleet.client.clone();
-    let last = tokio::spawn(async move {
-        client.call(Method::GET, callers, "/cart/x", &headers, Bytes::new(), WAIT_AT_MOST).await
-    });
+    let last =
+        tokio::spawn(
+            async move { client.call(Method::GET, callers, "/cart/x", &headers, Bytes::new(), MAX_WAIT).await },
+        );
     wait_for("the request at the server", async || fleet.count_calls("r-last") > 0).await;
     send_signal(&fleet.nodes[0].process, "TERM").await;
     wait_for("a closed port", async || TcpStream::connect(callers).await.is_err()).await;
@@ -140,13 +141,13 @@
     let client = fleet.client.clone();
     wait_for("dropped lines of the log", async || {
         fleet.call(0, Method::GET, &long_path, "r-long", Bytes::new()).await.expect("a refusal");
-        let counters = client.call(Method::GET, metrics, "/metrics", &[], Bytes::new(), WAIT_AT_MOST).await;
+        let counters = client.call(Method::GET, metrics, "/metrics", &[], Bytes::new(), MAX_WAIT).await;
         counters.is_ok_and(|told| String::from_utf8_lossy(&told.body).contains("streamfold_log_lines_dropped_total"))
     })
     .await;
     assert!(answers(&fleet, 0, "/cart/x").await, "the log holds up requests");
     send_signal(&fleet.nodes[0].process, "TERM").await;
-    let ended = tokio::time::timeout(WAIT_AT_MOST, fleet.nodes[0].process.wait()).await;
+    let ended = tokio::time::timeout(MAX_WAIT, fleet.nodes[0].process.wait()).await;
     let status = ended.expect("the process ends though nobody reads its log").expect("an exit");
     assert!(status.success(), "{status}");
 }
--- a/crates/lab/tests/routes_news.rs
+++ b/crates/lab/tests/routes_news.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use streamfold_lab::route_checks::{check_own, get, header, near, start_pair, start_single, to_service};
 use streamfold_lab::route_fleet::{HOST, RouteFleet, RouteFleetPlan, write_route};
-use streamfold_lab::wait::{WAIT_AT_MOST, wait_for};
+use streamfold_lab::wait::{MAX_WAIT, wait_for};
 
 #[tokio::test(flavor = "multi_thread")]
 async fn newer_routes_are_taken_and_older_ones_never() {
@@ -117,7 +117,7 @@
     let client = fleet.client.clone();
     let in_flight = tokio::spawn(async move {
         let headers = [("host", HOST), ("x-request-id", "r-long"), ("x-deadline-ms", "8000")];
-        client.call(Method::POST, callers, "/once/x", &headers, Bytes::new(), WAIT_AT_MOST).await
+        client.call(Method::POST, callers, "/once/x", &headers, Bytes::new(), MAX_WAIT).await
     });
     wait_for("the request in flight", async || fleet.count_runs("r-long") == 1).await;
     fleet.register(0, "draining");
--- a/crates/lab/tests/routes_stop.rs
+++ b/crates/lab/tests/routes_stop.rs
@@ -8,7 +8,7 @@
 use streamfold_lab::fleet::send_signal;
 use streamfold_lab::route_checks::{check_own, get, near, start_single};
 use streamfold_lab::route_fleet::{HOST, RouteFleet, RouteFleetPlan, write_route};
-use streamfold_lab::wait::{WAIT_AT_MOST, wait_for};
+use streamfold_lab::wait::{MAX_WAIT, wait_for};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -20,7 +20,7 @@
     let client = fleet.client.clone();
     let in_flight = tokio::spawn(async move {
         let headers = [("host", HOST), ("x-request-id", "r-long"), ("x-deadline-ms", "8000")];
-        client.call(Method::POST, callers, "/once/x", &headers, Bytes::new(), WAIT_AT_MOST).await
+        client.call(Method::POST, callers, "/once/x", &headers, Bytes::new(), MAX_WAIT).await
     });
     wait_for("the request in flight", async || fleet.count_runs("r-long") == 1).await;
     send_signal(&fleet.nodes[0].process, "TERM").await;
@@ -29,7 +29,7 @@
     fleet.servers[0].state.switches.work_ms.store(0, Ordering::Relaxed);
     check_own(&fleet, &get(&fleet, "/any/x", "r-late").await, "r-late");
     check_own(&fleet, &in_flight.await.expect("a caller").expect("an answer"), "r-long");
-    let status = tokio::time::timeout(WAIT_AT_MOST, fleet.nodes[0].process.wait()).await;
+    let status = tokio::time::timeout(MAX_WAIT, fleet.nodes[0].process.wait()).await;
     let status = status.expect("an end").expect("a status");
     assert!(status.success(), "{status}");
     assert_eq!(fleet.count_calls("r-long"), 1);
@@ -45,9 +45,9 @@
     caller.read_exact(&mut first).await.expect("an answer");
     send_signal(&fleet.nodes[0].process, "TERM").await;
     let mut rest = Vec::new();
-    let closed = tokio::time::timeout(WAIT_AT_MOST, caller.read_to_end(&mut rest)).await;
+    let closed = tokio::time::timeout(MAX_WAIT, caller.read_to_end(&mut rest)).await;
     closed.expect("a closed connection").expect("a closed connection");
-    let status = tokio::time::timeout(WAIT_AT_MOST, fleet.nodes[0].process.wait()).await;
+    let status = tokio::time::timeout(MAX_WAIT, fleet.nodes[0].process.wait()).await;
     assert!(status.expect("an end").expect("a status").success());
 }
 
