--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller's HTTP client for the lab.
+//! HTTP client with which the lab calls nodes, servers and the platform's store.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,38 +10,38 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
 
-/// Why a call had no answer.
+/// Error of a call that got no complete response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// The request could not be built.
-    #[error("request: {0}")]
+    #[error("building the request: {0}")]
     Request(#[from] http::Error),
-    /// The exchange failed.
-    #[error("exchange: {0}")]
+    /// Connecting, sending or receiving failed.
+    #[error("HTTP exchange: {0}")]
     Exchange(String),
-    /// No answer in time.
-    #[error("no answer in time")]
+    /// The response was not complete before the timeout.
+    #[error("no complete response before the timeout")]
     TimedOut,
 }
 
-/// An answer.
+/// HTTP response with its whole body.
 #[derive(Debug, Clone)]
 pub struct CallAnswer {
-    /// Its status.
+    /// Status code.
     pub status: StatusCode,
-    /// Its headers.
+    /// Header fields.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body, read to its end.
     pub body: Bytes,
 }
 
-/// An error with everything that led to it: the first alone does not tell a reset from a close.
-fn name_causes(error: &dyn std::error::Error) -> String {
+/// Formats an error with all its sources; the outermost error alone does not tell a reset connection from a closed one.
+fn format_error(error: &dyn std::error::Error) -> String {
     let causes = std::iter::successors(Some(error), |error| error.source());
     causes.map(ToString::to_string).collect::<Vec<_>>().join(": ")
 }
 
-/// A client that keeps connections.
+/// HTTP client that keeps idle connections for reuse.
 #[derive(Clone)]
 pub struct LabClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -51,17 +51,17 @@
     fn default() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        // A request that failed is never sent again behind the caller's back.
+        // The client must not resend a failed request by itself: the lab counts each request it sends.
         let client = Client::builder(TokioExecutor::new()).retry_canceled_requests(false).build(connector);
         Self { client }
     }
 }
 
 impl LabClient {
-    /// Makes one call.
+    /// Sends one request and reads the whole response.
     ///
     /// # Errors
-    /// There was no whole answer in time.
+    /// The request is invalid, the exchange failed or the response was not complete before `timeout`.
     pub async fn call(
         &self,
         method: Method,
@@ -69,7 +69,7 @@
         path: &str,
         headers: &[(&'static str, &str)],
         body: Bytes,
-        wait: Duration,
+        timeout: Duration,
     ) -> Result<CallAnswer, CallError> {
         let mut builder = Request::builder().method(method).uri(format!("http://{address}{path}"));
         for (name, value) in headers {
@@ -78,11 +78,11 @@
         let request = builder.body(Full::new(body))?;
         let exchange = async {
             let response =
-                self.client.request(request).await.map_err(|error| CallError::Exchange(name_causes(&error)))?;
+                self.client.request(request).await.map_err(|error| CallError::Exchange(format_error(&error)))?;
             let (parts, body) = response.into_parts();
-            let body = body.collect().await.map_err(|error| CallError::Exchange(name_causes(&error)))?;
+            let body = body.collect().await.map_err(|error| CallError::Exchange(format_error(&error)))?;
             Ok(CallAnswer { status: parts.status, headers: parts.headers, body: body.to_bytes() })
         };
-        tokio::time::timeout(wait, exchange).await.unwrap_or(Err(CallError::TimedOut))
+        tokio::time::timeout(timeout, exchange).await.unwrap_or(Err(CallError::TimedOut))
     }
 }
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: a whole fleet in one process, queries over it, then one with an upstream killed.
+//! The demo: starts a whole fleet in one process, runs queries and a load, then kills an upstream and queries again.
 
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 use crate::load::{self, DEFAULT_LATENCY_GOAL, LoadPlan, LoadReport};
 
 /// Queries a second in the demo's load.
-const RATE: f64 = 200.0;
-/// How long it lasts.
-const TIME: Duration = Duration::from_secs(5);
+const LOAD_RATE: f64 = 200.0;
+/// Duration of the demo's load.
+const LOAD_DURATION: Duration = Duration::from_secs(5);
 
-/// Runs the demo; with `keep` it stays up until interrupted.
+/// Runs the demo; with `keep` the fleet stays up until interrupted.
 ///
 /// # Errors
-/// The fleet did not come up.
+/// The fleet did not start.
 pub async fn run(keep: bool) -> Result<(), FleetError> {
     println!("Starting a platform, 2 failure domains with 2 nodes each, and 20 upstreams of 2 servers.");
     let mut fleet = Fleet::start(FleetPlan::default()).await?;
@@ -25,12 +25,12 @@
     if let Some(answer) = fleet.query(entry).await {
         print_answer(&answer);
     }
-    println!("\nLoad: {RATE} queries a second for {} s, from all nodes.", TIME.as_secs());
+    println!("\nLoad: {LOAD_RATE} queries a second for {} s, from all nodes.", LOAD_DURATION.as_secs());
     let calls_before = fleet.server_calls();
     let report = load::run(&fleet.client, &load_plan(&fleet)).await;
     let ideal = report.requests as f64 * fleet.servers.len() as f64;
-    let extra = (fleet.server_calls() - calls_before) as f64 / ideal - 1.0;
-    print_summary(&report, extra);
+    let extra_load = (fleet.server_calls() - calls_before) as f64 / ideal - 1.0;
+    print_summary(&report, extra_load);
     if keep {
         return stay_up(&fleet).await;
     }
@@ -41,7 +41,7 @@
         print_answer(&answer);
     }
     fleet.stop().await;
-    println!("\nAll nodes stopped as planned.");
+    println!("\nAll nodes have shut down gracefully.");
     Ok(())
 }
 
@@ -50,8 +50,8 @@
         nodes: fleet.caller_addresses(),
         index: INDEX.to_owned(),
         token: TOKEN.to_owned(),
-        rate: RATE,
-        duration: TIME,
+        rate: LOAD_RATE,
+        duration: LOAD_DURATION,
         headers: Vec::new(),
         latency_goal: DEFAULT_LATENCY_GOAL,
     }
@@ -70,17 +70,17 @@
     }
 }
 
-fn print_summary(report: &LoadReport, extra: f64) {
-    println!("  queries         {} ({} answered whole)", report.requests, report.whole);
+fn print_summary(report: &LoadReport, extra_load: f64) {
+    println!("  queries         {} ({} with all shards)", report.requests, report.whole);
     println!("  p50             {:.1} ms", report.p50_ms);
     println!("  p99             {:.1} ms", report.p99_ms);
     println!("  coverage        {:.4}", report.coverage);
-    println!("  extra load      {extra:.4} (calls to servers beyond one for each upstream and query)");
-    println!("  broken          {} (mixed versions, foreign results, untrue coverage)", report.broken);
+    println!("  extra_load load      {extra_load:.4} (calls to servers beyond one for each upstream and query)");
+    println!("  broken          {} (mixed index versions, another request's results, wrong coverage)", report.broken);
 }
 
 async fn stay_up(fleet: &Fleet) -> Result<(), FleetError> {
-    println!("\nStaying up until interrupted. In another terminal:\n");
+    println!("\nThe fleet stays up until interrupted. In another terminal:\n");
     for node in fleet.running() {
         let addresses = node.addresses;
         println!("  {:<10} callers {}  operators {}", node.name, addresses.callers, addresses.operators);
@@ -88,7 +88,7 @@
     let (callers, operators) = (fleet.caller_addresses()[0], fleet.nodes[0].addresses.operators);
     println!("\n  streamfold query --callers {callers} --token {TOKEN} {INDEX} '{{\"find\":\"cart 17\"}}'");
     println!("  streamfold status --operators {operators}");
-    // Without a signal handler the demo just ends.
+    // If no signal handler can be installed, the demo ends at once.
     let _ = tokio::signal::ctrl_c().await;
     Ok(())
 }
--- a/crates/lab/src/fleet_plan.rs
+++ b/crates/lab/src/fleet_plan.rs
@@ -1,4 +1,4 @@
-//! How a fleet is made, and the configuration that an operator would write for it.
+//! Parameters of a fleet, and the configuration that an operator would write for it.
 
 use std::fmt::Write;
 
@@ -9,45 +9,45 @@
 use crate::proxy::FaultProxy;
 use crate::server::{ServerPlan, ServerStandin};
 
-/// One failure domain of a fleet.
+/// Parameters of one failure domain of a fleet.
 #[derive(Debug, Clone)]
 pub struct DomainPlan {
-    /// Its name.
+    /// Name of the failure domain.
     pub name: &'static str,
-    /// Nodes in it.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Upstreams in it.
+    /// Number of upstreams.
     pub upstreams: usize,
 }
 
-/// How a fleet is made.
+/// Parameters of a fleet.
 #[derive(Debug, Clone)]
 pub struct FleetPlan {
-    /// Its failure domains.
+    /// Failure domains.
     pub domains: Vec<DomainPlan>,
-    /// Servers of each upstream.
+    /// Number of servers of each upstream.
     pub servers: usize,
-    /// Shards of each upstream.
+    /// Number of shards of each upstream.
     pub shards: usize,
-    /// Each server.
+    /// Parameters of each server.
     pub server: ServerPlan,
-    /// Which rules nodes use.
+    /// Policy that the nodes use.
     pub policy: PolicyChoice,
-    /// What the caller weighs most: `latency` or `coverage`.
+    /// The callers' preference: `latency` or `coverage`.
     pub prefer: &'static str,
-    /// When a `latency` caller takes less than the whole; half its deadline without it.
+    /// Time after which a `latency` caller accepts an answer without all shards; half its deadline if `None`.
     pub prefer_within: Option<&'static str>,
-    /// The caller's deadline.
+    /// Deadline of the callers' requests.
     pub deadline: &'static str,
-    /// Whether nodes run as processes of their own.
+    /// Whether each node runs as a process of its own.
     pub has_processes: bool,
-    /// Callers besides the first; the token of each is its name.
+    /// Callers besides the default one; the token of each is its name.
     pub callers: Vec<&'static str>,
-    /// From this index version on, every upstream has twice the shards.
+    /// Index version from which on every upstream has twice as many shards.
     pub repartition_at: Option<u64>,
-    /// Whether servers and nodes' peers' ports stand behind fault proxies.
+    /// Whether fault proxies stand before the servers and before the nodes' ports for peers.
     pub has_proxies: bool,
-    /// Settings lines besides, for every node.
+    /// Additional lines of the settings file of every node.
     pub settings: String,
 }
 
@@ -74,7 +74,7 @@
     }
 }
 
-/// The configuration of a fleet, as an operator would write it.
+/// Writes the configuration of a fleet, as an operator would.
 pub fn write_config(plan: &FleetPlan, servers: &[Vec<Option<ServerStandin>>], proxies: &[FaultProxy]) -> String {
     let mut text = format!("indexes:\n  {INDEX}:\n    layouts:\n");
     write_layout(&mut text, 1, servers.len(), plan.shards);
@@ -86,8 +86,9 @@
     let names = plan.domains.iter().flat_map(|domain| std::iter::repeat_n(domain.name, domain.upstreams));
     let mut proxies = proxies.iter();
     for (number, (group, domain)) in servers.iter().zip(names).enumerate() {
-        let reached = group.iter().flatten().map(|server| proxies.next().map_or(server.address, |proxy| proxy.address));
-        let addresses = reached.map(|address| address.to_string());
+        let server_addresses =
+            group.iter().flatten().map(|server| proxies.next().map_or(server.address, |proxy| proxy.address));
+        let addresses = server_addresses.map(|address| address.to_string());
         let list = addresses.collect::<Vec<_>>().join("\", \"");
         let (slots, connections) = (plan.server.slots, plan.server.connections);
         let _ = writeln!(
@@ -112,7 +113,7 @@
     text
 }
 
-/// One layout: so many shards on each upstream.
+/// Writes one layout, with `shards` shards on each upstream.
 fn write_layout(text: &mut String, version: u64, upstreams: usize, shards: usize) {
     // Writing to a String cannot fail.
     let _ = write!(text, "      - from_version: {version}\n        shards:\n");
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! The lab: stand-ins for the platform and for servers, a fault proxy, load and experiments.
+//! Test lab: simulated servers, a fault-injecting proxy, load generators, experiments and the soak test.
 //! It is never linked into the daemon or the command line.
 
 pub mod client;
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,5 +1,5 @@
-//! Open-loop load: requests start when they are due, whatever is still running, and their
-//! latency counts from when they were due, so nothing is omitted.
+//! Open-loop load generator: a request starts at its scheduled time, however many are still running, and its latency
+//! counts from that time, which avoids coordinated omission.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -15,64 +15,64 @@
 
 /// The longest latency recorded, in microseconds.
 const MAX_LATENCY_US: u64 = 60_000_000;
-/// How long a request may take before the load gives it up.
-const GIVE_UP: Duration = Duration::from_secs(10);
+/// Client-side timeout of a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What counts as good where an experiment says nothing else.
+/// Latency goal where an experiment sets none.
 pub const DEFAULT_LATENCY_GOAL: Duration = Duration::from_secs(1);
 
-/// What to send.
+/// Parameters of a load.
 #[derive(Debug, Clone)]
 pub struct LoadPlan {
-    /// Nodes, each in turn.
+    /// Callers' addresses of the nodes, used round-robin.
     pub nodes: Vec<SocketAddr>,
-    /// The index.
+    /// Index to query.
     pub index: String,
-    /// The bearer token.
+    /// Bearer token of the caller.
     pub token: String,
     /// Requests a second.
     pub rate: f64,
-    /// For how long.
+    /// Duration of the load.
     pub duration: Duration,
-    /// Headers besides.
+    /// Additional request headers.
     pub headers: Vec<(&'static str, String)>,
-    /// Answers later than this do not count as good.
+    /// Latency up to which a complete answer counts as good.
     pub latency_goal: Duration,
 }
 
-/// What came of a load.
+/// Results of a load.
 #[derive(Debug, Clone, Serialize)]
 pub struct LoadReport {
     /// Requests sent.
     pub requests: u64,
     /// Answers of any coverage.
     pub answered: u64,
-    /// Share of wanted shards in all answers.
+    /// Share of the requested shards that the answers contain.
     pub coverage: f64,
-    /// Answers with every shard.
+    /// Answers that contain every shard.
     pub whole: u64,
-    /// Whole answers within the time that counts as good.
+    /// Answers with every shard within the latency goal.
     pub good: u64,
-    /// Refusals that say "not run".
+    /// Requests refused with the execution state "not run".
     pub refused: u64,
-    /// Outcomes told as unknown.
+    /// Requests reported with the execution state "unknown".
     pub unknown: u64,
-    /// No answer at all.
+    /// Requests without an answer, or with a problem that is neither refused nor unknown.
     pub failed: u64,
-    /// Answers with mixed versions, another's results or untrue coverage.
+    /// Answers with mixed index versions, another request's results or wrong coverage.
     pub broken: u64,
-    /// Requests refused as "not run".
+    /// Ids of the requests counted in `refused`.
     #[serde(skip)]
     pub refusals: Vec<RequestId>,
-    /// Latency of answers, milliseconds.
+    /// Median latency of answers, in milliseconds.
     pub p50_ms: f64,
-    /// Likewise.
+    /// 99th percentile of the latency of answers, in milliseconds.
     pub p99_ms: f64,
-    /// Likewise.
+    /// 99.9th percentile of the latency of answers, in milliseconds.
     pub p999_ms: f64,
 }
 
-struct LoadSums {
+struct LoadCounts {
     latencies: Histogram<u64>,
     requests: u64,
     answered: u64,
@@ -84,12 +84,12 @@
     failed: u64,
     broken: u64,
     shards: u64,
-    covered: u64,
+    answered_shards: u64,
 }
 
-impl LoadSums {
+impl LoadCounts {
     fn new(latency_goal: Duration) -> Self {
-        // Three digits up to a minute always make a histogram.
+        // These constant bounds and three significant digits are always valid.
         #[allow(clippy::unwrap_used)]
         let latencies = Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).unwrap();
         Self {
@@ -104,18 +104,18 @@
             failed: 0,
             broken: 0,
             shards: 0,
-            covered: 0,
+            answered_shards: 0,
         }
     }
 
-    fn note(&mut self, answer: Option<&CallAnswer>, latency: Duration) {
+    fn record(&mut self, answer: Option<&CallAnswer>, latency: Duration) {
         self.requests += 1;
         let Some(answer) = answer else {
             self.failed += 1;
             return;
         };
         if answer.status == StatusCode::OK {
-            self.note_answer(answer, latency);
+            self.record_answer(answer, latency);
             return;
         }
         let problem: Option<ProblemDetails> = serde_json::from_slice(&answer.body).ok();
@@ -126,7 +126,7 @@
         }
     }
 
-    fn note_answer(&mut self, answer: &CallAnswer, latency: Duration) {
+    fn record_answer(&mut self, answer: &CallAnswer, latency: Duration) {
         let Ok(query) = serde_json::from_slice::<QueryAnswer>(&answer.body) else {
             self.broken += 1;
             return;
@@ -136,7 +136,7 @@
         self.whole += u64::from(is_whole);
         self.good += u64::from(is_whole && latency <= self.latency_goal);
         self.shards += query.coverage.shards as u64;
-        self.covered += query.coverage.answered as u64;
+        self.answered_shards += query.coverage.answered as u64;
         self.broken += u64::from(is_broken(&query));
         let micros = u64::try_from(latency.as_micros()).unwrap_or(MAX_LATENCY_US);
         self.latencies.saturating_record(micros.clamp(1, MAX_LATENCY_US));
@@ -147,7 +147,7 @@
         LoadReport {
             requests: self.requests,
             answered: self.answered,
-            coverage: if self.shards == 0 { 0.0 } else { self.covered as f64 / self.shards as f64 },
+            coverage: if self.shards == 0 { 0.0 } else { self.answered_shards as f64 / self.shards as f64 },
             whole: self.whole,
             good: self.good,
             refused: self.refusals.len() as u64,
@@ -162,7 +162,7 @@
     }
 }
 
-/// What a stand-in writes into each result.
+/// Content of a shard's result, as the simulated servers write it.
 #[derive(serde::Deserialize)]
 struct ResultMark {
     shard: u32,
@@ -170,23 +170,23 @@
     request: String,
 }
 
-/// Whether an answer breaks a promise: mixed versions, another's results, untrue coverage.
+/// Whether an answer mixes index versions, contains another request's results or states a wrong coverage.
 fn is_broken(query: &QueryAnswer) -> bool {
     let request = query.request.to_string();
-    let foreign = query.results.iter().any(|(shard, raw)| match serde_json::from_str::<ResultMark>(raw.get()) {
+    let has_foreign = query.results.iter().any(|(shard, raw)| match serde_json::from_str::<ResultMark>(raw.get()) {
         Ok(mark) => mark.shard != shard.0 || mark.version != query.index_version.0 || mark.request != request,
         Err(_) => true,
     });
     let coverage = &query.coverage;
-    let untrue = coverage.answered != query.results.len()
+    let has_wrong_coverage = coverage.answered != query.results.len()
         || coverage.answered + coverage.missing.len() != coverage.shards
         || coverage.missing.iter().any(|missing| query.results.contains_key(&missing.shard));
-    foreign || untrue
+    has_foreign || has_wrong_coverage
 }
 
-/// Runs a load to its end and reports.
+/// Runs a load to its end and returns its results.
 pub async fn run(client: &LabClient, plan: &LoadPlan) -> LoadReport {
-    let sums = Arc::new(Mutex::new(LoadSums::new(plan.latency_goal)));
+    let counts = Arc::new(Mutex::new(LoadCounts::new(plan.latency_goal)));
     let total = (plan.rate * plan.duration.as_secs_f64()) as u64;
     let start = Instant::now();
     let authorization = format!("Bearer {}", plan.token);
@@ -196,19 +196,19 @@
         tokio::time::sleep_until(due.into()).await;
         while running.try_join_next().is_some() {}
         let node = plan.nodes[number as usize % plan.nodes.len()];
-        let (client, sums) = (client.clone(), sums.clone());
+        let (client, counts) = (client.clone(), counts.clone());
         let (path, authorization) = (format!("/v1/indexes/{}/query", plan.index), authorization.clone());
-        let extra = plan.headers.clone();
+        let extra_headers = plan.headers.clone();
         running.spawn(async move {
             let mut headers: Vec<(&'static str, &str)> = vec![("authorization", &authorization)];
-            headers.extend(extra.iter().map(|(name, value)| (*name, value.as_str())));
+            headers.extend(extra_headers.iter().map(|(name, value)| (*name, value.as_str())));
             let body = Bytes::from_static(b"{\"find\":\"cart\"}");
-            let answer = client.call(Method::POST, node, &path, &headers, body, GIVE_UP).await.ok();
+            let answer = client.call(Method::POST, node, &path, &headers, body, REQUEST_TIMEOUT).await.ok();
             let latency = due.elapsed();
-            sums.lock().unwrap_or_else(PoisonError::into_inner).note(answer.as_ref(), latency);
+            counts.lock().unwrap_or_else(PoisonError::into_inner).record(answer.as_ref(), latency);
         });
     }
     while running.join_next().await.is_some() {}
-    let sums = sums.lock().unwrap_or_else(PoisonError::into_inner);
-    sums.report()
+    let counts = counts.lock().unwrap_or_else(PoisonError::into_inner);
+    counts.report()
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `streamfold-lab`: the demo, stand-ins and experiments.
+//! `streamfold-lab`: command line of the demo, the experiments, the cost measurements and the soak test.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -9,50 +9,50 @@
 use streamfold_lab::soak::{self, SoakPlan};
 use streamfold_lab::{demo, experiments, slopes};
 
-/// streamfold-lab: stand-ins, load and experiments for streamfold.
+/// streamfold-lab: simulated fleets, load and experiments for streamfold.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 enum LabArgs {
-    /// Run a whole fleet on loopback, query it, kill an upstream, query again.
+    /// Run a whole fleet on loopback, query it, kill an upstream and query again.
     #[bpaf(command)]
     Demo {
-        /// Stay up and print the addresses for the command line.
+        /// Keep the fleet up and print its addresses.
         keep: bool,
     },
-    /// Measure how the costs of a node grow, for docs/CAPACITY.md; prints JSON.
+    /// Measure how the costs of a node grow with size, for docs/CAPACITY.md; prints JSON.
     #[bpaf(command)]
     Slopes,
-    /// Play random faults on a fleet of real processes and check the promises meanwhile. Exit
-    /// code 1 if one was broken.
+    /// Inject random faults into a fleet of real processes and check its guarantees meanwhile.
+    /// Exit code 1 if one was violated.
     #[bpaf(command)]
     Soak {
-        /// Seed of the faults and of the callers.
+        /// Seed of the random faults and callers.
         #[bpaf(argument("N"))]
         seed: u64,
-        /// How long faults are played.
+        /// Seconds during which faults are injected.
         #[bpaf(argument("S"), fallback(15))]
         seconds: u64,
-        /// Nodes of each of the two failure domains.
+        /// Nodes in each of the two failure domains.
         #[bpaf(argument("N"), fallback(2))]
         nodes: usize,
     },
-    /// Run an experiment: a baseline and the policy in one run. Exit code 1 if it did not hold.
+    /// Run an experiment, which compares a baseline with the policy. Exit code 1 if its criteria are not met.
     #[bpaf(command)]
     Experiment {
-        /// Seed of everything random in the load.
+        /// Seed of the random numbers of the load.
         #[bpaf(argument("N"), fallback(1))]
         seed: u64,
         /// Print the report on one line.
         json: bool,
-        /// List the experiments and stop.
+        /// List the experiments and exit.
         list: bool,
-        /// The experiment.
+        /// Name of the experiment.
         #[bpaf(positional("NAME"))]
         name: Option<String>,
     },
 }
 
-/// Why the lab failed.
+/// Error of a lab command.
 #[derive(Debug, thiserror::Error)]
 enum LabError {
     #[error(transparent)]
@@ -60,7 +60,7 @@
     #[error(transparent)]
     RouteFleet(#[from] RouteFleetError),
     #[error("there is no experiment {0:?}; see streamfold-lab experiment --list")]
-    NoExperiment(String),
+    UnknownExperiment(String),
     #[error("writing the report: {0}")]
     Json(#[from] serde_json::Error),
 }
@@ -108,7 +108,7 @@
 
 async fn run_experiment(name: &str, seed: u64, json: bool) -> Result<bool, LabError> {
     let Some(report) = experiments::run(name, seed).await else {
-        return Err(LabError::NoExperiment(name.to_owned()));
+        return Err(LabError::UnknownExperiment(name.to_owned()));
     };
     let report = report?;
     match json {
