--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -11,7 +11,7 @@
 /// Queries a second in the demo's load.
 const LOAD_RATE: f64 = 200.0;
 /// Duration of the demo's load.
-const LOAD_DURATION: Duration = Duration::from_secs(5);
+const LOAD_TIME: Duration = Duration::from_secs(5);
 
 /// Runs the demo; with `keep` the fleet stays up until interrupted.
 ///
@@ -25,7 +25,7 @@
     if let Some(answer) = fleet.query(entry).await {
         print_answer(&answer);
     }
-    println!("\nLoad: {LOAD_RATE} queries a second for {} s, from all nodes.", LOAD_DURATION.as_secs());
+    println!("\nLoad: {LOAD_RATE} queries a second for {} s, from all nodes.", LOAD_TIME.as_secs());
     let calls_before = fleet.server_calls();
     let report = load::run(&fleet.client, &load_plan(&fleet)).await;
     let ideal = report.requests as f64 * fleet.servers.len() as f64;
@@ -51,7 +51,7 @@
         index: INDEX.to_owned(),
         token: TOKEN.to_owned(),
         rate: LOAD_RATE,
-        duration: LOAD_DURATION,
+        duration: LOAD_TIME,
         headers: Vec::new(),
         latency_goal: DEFAULT_LATENCY_GOAL,
     }
--- a/crates/lab/src/experiments/apply.rs
+++ b/crates/lab/src/experiments/apply.rs
@@ -1,5 +1,5 @@
-//! Two operators race changes through different nodes, over a store that loses answers, while
-//! nodes are killed. The baseline is last-writer-wins: each operator reads, changes and writes unconditionally.
+//! Two operators concurrently apply changes through different nodes, over a store that loses answers, while nodes are
+//! killed. The baseline is last-writer-wins: each operator reads, changes and writes unconditionally.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -19,28 +19,28 @@
 use crate::fleet::{Fleet, FleetError, NodeHandle};
 use streamfold_standin::store as platform;
 
-/// Changes of each operator.
+/// Number of changes by each operator.
 const CHANGES: usize = 100;
-/// Of a thousand writes, so many take effect and their answer is lost.
-const LOST_ANSWERS: u64 = 200;
+/// Writes in a thousand that take effect but whose answer is lost.
+const LOST_ANSWERS_PER_MILLE: u64 = 200;
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
-/// How often the versions in force are looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
-/// In force everywhere, at most.
-const MAX_SPREAD_MS: f64 = 2_000.0;
+/// How often the configuration versions in force are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Upper bound of the 99th percentile of the time until a change is in force at all nodes.
+const MAX_PROPAGATION_MS: f64 = 2_000.0;
 
-/// What the operators were told.
+/// Answers to the changes of one operator.
 #[derive(Default)]
-struct RaceLog {
+struct ApplyOutcomes {
     accepted: Vec<(ChangeId, ConfigVersion, Instant)>,
     conflicts: usize,
     not_applied: usize,
     unknown: usize,
 }
 
-async fn race(client: LabClient, nodes: Vec<SocketAddr>, operator: usize, config: String) -> RaceLog {
-    let mut log = RaceLog::default();
+async fn apply_changes(client: LabClient, nodes: Vec<SocketAddr>, operator: usize, config: String) -> ApplyOutcomes {
+    let mut outcomes = ApplyOutcomes::default();
     for number in 0..CHANGES {
         let change = ChangeId(rand::random());
         let text = format!("# change {number} of operator {operator}\n{config}");
@@ -53,59 +53,63 @@
         match answer {
             Ok(answer) if answer.status.is_success() => {
                 if let Ok(applied) = serde_json::from_slice::<ApplyAnswer>(&answer.body) {
-                    log.accepted.push((change, applied.version, Instant::now()));
+                    outcomes.accepted.push((change, applied.version, Instant::now()));
                 }
             }
-            Ok(answer) if answer.status.as_u16() == 409 => log.conflicts += 1,
-            Ok(answer) if answer.status.as_u16() == 503 => log.not_applied += 1,
-            _ => log.unknown += 1,
+            Ok(answer) if answer.status.as_u16() == 409 => outcomes.conflicts += 1,
+            Ok(answer) if answer.status.as_u16() == 503 => outcomes.not_applied += 1,
+            _ => outcomes.unknown += 1,
         }
     }
-    log
+    outcomes
 }
 
-/// Versions in force at each node over time.
-type SeenVersions = Vec<(Instant, Vec<ConfigVersion>)>;
+/// Configuration versions in force at each node over time.
+type VersionSamples = Vec<(Instant, Vec<ConfigVersion>)>;
 
-/// Watches the versions in force at every node until told to stop.
-async fn watch(client: LabClient, nodes: Vec<SocketAddr>, stop: tokio::sync::watch::Receiver<bool>) -> SeenVersions {
-    let mut seen = Vec::new();
+/// Samples the configuration versions in force at every node until `stop` is true; 0 for a node that does not answer.
+async fn sample_versions(
+    client: LabClient,
+    nodes: Vec<SocketAddr>,
+    stop: tokio::sync::watch::Receiver<bool>,
+) -> VersionSamples {
+    let mut samples = Vec::new();
     while !*stop.borrow() {
-        let mut asked = tokio::task::JoinSet::new();
+        let mut pending = tokio::task::JoinSet::new();
         for (number, node) in nodes.iter().copied().enumerate() {
             let client = client.clone();
-            asked.spawn(async move {
+            pending.spawn(async move {
                 let answer = client.call(Method::GET, node, "/v1/status", &[], Bytes::new(), STATUS_TIMEOUT).await;
                 let status = answer.ok().and_then(|answer| serde_json::from_slice::<NodeStatus>(&answer.body).ok());
                 (number, status.map_or(ConfigVersion(0), |status| status.config_version))
             });
         }
         let mut versions = vec![ConfigVersion(0); nodes.len()];
-        for (number, version) in asked.join_all().await {
+        for (number, version) in pending.join_all().await {
             versions[number] = version;
         }
-        seen.push((Instant::now(), versions));
-        tokio::time::sleep(LOOK_EVERY).await;
+        samples.push((Instant::now(), versions));
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    seen
+    samples
 }
 
-/// Milliseconds from each accepted change until every node had it or a newer one.
-fn spreads(log: &[&RaceLog], seen: &SeenVersions) -> Vec<f64> {
-    let accepted = log.iter().flat_map(|log| &log.accepted);
-    let spread = accepted.filter_map(|(_, version, at)| {
+/// Milliseconds from each accepted change until every node had it or a newer one in force, sorted.
+fn propagation_times(outcomes: &[&ApplyOutcomes], samples: &VersionSamples) -> Vec<f64> {
+    let accepted = outcomes.iter().flat_map(|outcomes| &outcomes.accepted);
+    let delays = accepted.filter_map(|(_, version, at)| {
         let everywhere = |versions: &[ConfigVersion]| versions.iter().all(|found| found >= version);
-        let first = seen.iter().find(|(when, versions)| when >= at && everywhere(versions));
+        let first = samples.iter().find(|(when, versions)| when >= at && everywhere(versions));
         first.map(|(when, _)| when.duration_since(*at).as_secs_f64() * 1e3)
     });
-    let mut spreads: Vec<f64> = spread.collect();
-    spreads.sort_by(f64::total_cmp);
-    spreads
+    let mut times: Vec<f64> = delays.collect();
+    times.sort_by(f64::total_cmp);
+    times
 }
 
-/// How often a node was seen to go back.
-fn count_reverts(seen: &SeenVersions) -> usize {
-    let pairs = seen.windows(2).flat_map(|pair| pair[0].1.iter().zip(&pair[1].1));
+/// Number of times that a node went back to an older version.
+fn count_reverts(samples: &VersionSamples) -> usize {
+    let pairs = samples.windows(2).flat_map(|pair| pair[0].1.iter().zip(&pair[1].1));
     pairs.filter(|(before, after)| after.0 != 0 && after < before).count()
 }
 
@@ -113,18 +117,18 @@
     let mut plan = three_domains(6, PolicyChoice::Adaptive);
     plan.has_processes = true;
     let mut fleet = Fleet::start(plan).await?;
-    fleet.platform.state.faults.lost_answers.store(LOST_ANSWERS, Ordering::Relaxed);
+    fleet.platform.state.faults.lost_answers.store(LOST_ANSWERS_PER_MILLE, Ordering::Relaxed);
     let operators: Vec<SocketAddr> = fleet.nodes.iter().map(|node| node.addresses.operators).collect();
     let (stop, stopped) = tokio::sync::watch::channel(false);
-    // The last two nodes are killed midway, so they are not watched.
-    let watching = tokio::spawn(watch(fleet.client.clone(), operators[..4].to_vec(), stopped));
-    let through = |range: std::ops::Range<usize>| operators[range].to_vec();
-    let first = tokio::spawn(race(fleet.client.clone(), through(0..2), 0, fleet.config.clone()));
-    let second = tokio::spawn(race(fleet.client.clone(), through(2..4), 1, fleet.config.clone()));
+    // The last two nodes are killed during the run, so they are not sampled.
+    let sampling = tokio::spawn(sample_versions(fleet.client.clone(), operators[..4].to_vec(), stopped));
+    let nodes_in = |range: std::ops::Range<usize>| operators[range].to_vec();
+    let first = tokio::spawn(apply_changes(fleet.client.clone(), nodes_in(0..2), 0, fleet.config.clone()));
+    let second = tokio::spawn(apply_changes(fleet.client.clone(), nodes_in(2..4), 1, fleet.config.clone()));
     for number in [4, 5] {
         tokio::time::sleep(Duration::from_secs(2)).await;
         if let Some(NodeHandle::Process(mut child)) = fleet.nodes[number].handle.take() {
-            // kill -9; a child that is gone already is as dead.
+            // `kill -9`; an error means that the process has exited already.
             let _ = child.kill().await;
         }
     }
@@ -132,14 +136,15 @@
     let second = second.await.map_err(|_| FleetError::NotReady)?;
     tokio::time::sleep(Duration::from_secs(3)).await;
     stop.send_replace(true);
-    let seen = watching.await.map_err(|_| FleetError::NotReady)?;
+    let samples = sampling.await.map_err(|_| FleetError::NotReady)?;
     let audit = read_audit(&fleet);
-    let logs = [&first, &second];
-    let accepted: Vec<ChangeId> = logs.iter().flat_map(|log| &log.accepted).map(|(change, ..)| *change).collect();
+    let all_outcomes = [&first, &second];
+    let accepted: Vec<ChangeId> =
+        all_outcomes.iter().flat_map(|outcomes| &outcomes.accepted).map(|(change, ..)| *change).collect();
     let absent = accepted.iter().filter(|change| audit.iter().filter(|found| found == change).count() != 1).count();
     let distinct: HashSet<&ChangeId> = audit.iter().collect();
-    let spreads = spreads(&logs, &seen);
-    let p99 = spreads.get(spreads.len().saturating_sub(1).min(spreads.len() * 99 / 100)).copied();
+    let times = propagation_times(&all_outcomes, &samples);
+    let p99 = times.get(times.len().saturating_sub(1).min(times.len() * 99 / 100)).copied();
     fleet.stop().await;
     Ok(json!({
         "changes": CHANGES * 2,
@@ -150,17 +155,17 @@
         "accepted_not_once_in_audit": absent,
         "audit_records": audit.len(),
         "audit_doubles": audit.len() - distinct.len(),
-        "reverts": count_reverts(&seen),
-        "spread_seen_of": spreads.len(),
-        "spread_p50_ms": spreads.get(spreads.len() / 2),
+        "reverts": count_reverts(&samples),
+        "spread_seen_of": times.len(),
+        "spread_p50_ms": times.get(times.len() / 2),
         "spread_p99_ms": p99,
     }))
 }
 
-/// Where the baseline keeps its list.
-const PLAIN_PATH: &str = "/objects/streamfold-plain/head";
+/// Path in the store of the baseline's list of changes.
+const BASELINE_PATH: &str = "/objects/streamfold-plain/head";
 
-/// The changes in the audit, the head's own included.
+/// Reads the changes in the audit log, including the one in the head record.
 fn read_audit(fleet: &Fleet) -> Vec<ChangeId> {
     let parse = |(_, body): &(String, Bytes)| serde_json::from_slice::<HeadRecord>(body).ok();
     let head: Vec<HeadRecord> = fleet.platform.state.dump("config/head").iter().filter_map(parse).collect();
@@ -170,19 +175,19 @@
     copies.chain(head.clone()).map(|record| record.change).collect()
 }
 
-/// Reads the list of changes, adds its own and writes it back without a condition.
-async fn write_plainly(client: LabClient, store: SocketAddr) -> Vec<ChangeId> {
+/// Reads the list of changes, adds one and writes it back unconditionally, once for each change.
+async fn write_unconditionally(client: LabClient, store: SocketAddr) -> Vec<ChangeId> {
     let mut accepted = Vec::new();
     for _ in 0..CHANGES {
-        let read = client.call(Method::GET, store, PLAIN_PATH, &[], Bytes::new(), CALL_TIMEOUT).await;
+        let read = client.call(Method::GET, store, BASELINE_PATH, &[], Bytes::new(), CALL_TIMEOUT).await;
         let object: Option<Value> = read.ok().and_then(|answer| serde_json::from_slice(&answer.body).ok());
-        let known = object.and_then(|object| serde_json::from_value(object["spec"].clone()).ok());
-        let mut changes: Vec<ChangeId> = known.unwrap_or_default();
+        let stored = object.and_then(|object| serde_json::from_value(object["spec"].clone()).ok());
+        let mut changes: Vec<ChangeId> = stored.unwrap_or_default();
         let change = ChangeId(rand::random());
         changes.push(change);
         let body = json!({ "meta": { "name": "head" }, "spec": changes }).to_string();
         let headers = [("content-type", "application/json")];
-        let written = client.call(Method::PUT, store, PLAIN_PATH, &headers, Bytes::from(body), CALL_TIMEOUT).await;
+        let written = client.call(Method::PUT, store, BASELINE_PATH, &headers, Bytes::from(body), CALL_TIMEOUT).await;
         if written.is_ok_and(|answer| answer.status.is_success()) {
             accepted.push(change);
         }
@@ -190,25 +195,26 @@
     accepted
 }
 
-/// Last writer wins: the same race by reading, changing and writing the head unconditionally.
+/// Runs the same changes with last-writer-wins: the list is read, changed and written back unconditionally.
 async fn run_baseline() -> Result<Value, FleetError> {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let platform = platform::start(any).await.map_err(|source| FleetError::Io { what: "the platform", source })?;
     platform.state.put_object("streamfold-plain", "head", json!([]));
-    let first = tokio::spawn(write_plainly(LabClient::default(), platform.address));
-    let second = write_plainly(LabClient::default(), platform.address).await;
+    let first = tokio::spawn(write_unconditionally(LabClient::default(), platform.address));
+    let second = write_unconditionally(LabClient::default(), platform.address).await;
     let mut accepted = first.await.map_err(|_| FleetError::NotReady)?;
     accepted.extend(second);
-    let kept = platform.state.dump("plain/head");
-    let kept: Vec<ChangeId> = kept.first().and_then(|(_, body)| serde_json::from_slice(body).ok()).unwrap_or_default();
-    let absent = accepted.iter().filter(|change| !kept.contains(change)).count();
+    let stored = platform.state.dump("plain/head");
+    let stored: Vec<ChangeId> =
+        stored.first().and_then(|(_, body)| serde_json::from_slice(body).ok()).unwrap_or_default();
+    let absent = accepted.iter().filter(|change| !stored.contains(change)).count();
     Ok(json!({ "changes": CHANGES * 2, "accepted": accepted.len(), "accepted_but_absent": absent }))
 }
 
 /// Runs baseline and policy.
 ///
 /// # Errors
-/// A fleet did not come up.
+/// A fleet did not start.
 pub async fn run(seed: u64) -> Result<ExperimentReport, FleetError> {
     let policy = run_policy().await?;
     let number = |name: &str| policy[name].as_f64().unwrap_or(f64::NAN);
@@ -216,6 +222,6 @@
         && number("audit_doubles") == 0.0
         && number("reverts") == 0.0
         && number("spread_seen_of") == number("accepted")
-        && number("spread_p99_ms") < MAX_SPREAD_MS;
+        && number("spread_p99_ms") < MAX_PROPAGATION_MS;
     Ok(ExperimentReport { experiment: "apply", seed, baseline: run_baseline().await?, policy, held })
 }
--- a/crates/lab/src/experiments/cost.rs
+++ b/crates/lab/src/experiments/cost.rs
@@ -1,4 +1,4 @@
-//! What the tier itself costs, with servers that answer at once.
+//! Measures the latency, CPU time and memory that the query tier itself adds, with servers that answer immediately.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,14 +18,15 @@
 use crate::server::ServerPlan;
 use crate::usage;
 
-/// Requests running at once when the capacity is measured.
+/// Concurrent requests while the capacity is measured.
 const CONCURRENCY: usize = 64;
-/// How long each measurement lasts.
-const TIME: Duration = Duration::from_secs(4);
-/// The share of the capacity at which latency is measured.
+/// Duration of each measurement.
+const MEASURE_TIME: Duration = Duration::from_secs(4);
+/// Load at which latency is measured, as a share of the capacity.
 const LATENCY_SHARE: f64 = 1.0 / 3.0;
-/// What is aimed for.
+/// Criterion: upper bound of the p99 latency that one hop adds to a direct call, in milliseconds.
 const MAX_ADDED_P99_MS: f64 = 1.0;
+/// Criterion: lower bound of the shard calls a second for each core used.
 const MIN_CALLS_PER_CORE: f64 = 50_000.0;
 
 fn fast_server() -> ServerPlan {
@@ -39,7 +40,8 @@
     }
 }
 
-/// A fleet of fast servers: one node over `entry_upstreams`, and another over the far ones.
+/// Plans a fleet of fast servers: one node that owns `entry_upstreams`, and with `far_upstreams` a second one, in another
+/// failure domain, that owns those.
 pub fn plan(entry_upstreams: usize, far_upstreams: usize, shards: usize) -> FleetPlan {
     let domain = |name, upstreams| DomainPlan { name, nodes: 1, upstreams };
     let domains = match far_upstreams {
@@ -49,7 +51,7 @@
     FleetPlan { domains, servers: 2, shards, server: fast_server(), has_processes: true, ..FleetPlan::default() }
 }
 
-/// The processes of a fleet's nodes.
+/// Process ids of a fleet's nodes.
 pub fn pids(fleet: &Fleet) -> Vec<u32> {
     let handles = fleet.nodes.iter().filter_map(|node| node.handle.as_ref());
     let children = handles.filter_map(|handle| match handle {
@@ -59,7 +61,7 @@
     children.collect()
 }
 
-/// Processor time that processes have used.
+/// Sum of the CPU time that the processes have used since they started.
 pub fn total_cpu_time(pids: &[u32]) -> Duration {
     pids.iter().filter_map(|pid| usage::read(*pid)).map(|used| used.cpu).sum()
 }
@@ -69,7 +71,7 @@
     pids.iter().filter_map(|pid| usage::read(*pid)).map(|used| used.memory >> 10).collect()
 }
 
-/// Queries back to back, so many at once, for a time; returns queries a second.
+/// Runs `concurrency` closed loops of queries for [`MEASURE_TIME`]; returns answered queries a second.
 async fn saturate(fleet: &Fleet, entry: SocketAddr, concurrency: usize) -> f64 {
     let start = Instant::now();
     let mut workers = tokio::task::JoinSet::new();
@@ -80,9 +82,9 @@
             let path = format!("/v1/indexes/{INDEX}/query");
             let headers = [("authorization", &*authorization)];
             let mut done = 0u64;
-            while start.elapsed() < TIME {
+            while start.elapsed() < MEASURE_TIME {
                 let body = Bytes::from_static(b"{}");
-                let answer = client.call(Method::POST, entry, &path, &headers, body, TIME).await;
+                let answer = client.call(Method::POST, entry, &path, &headers, body, MEASURE_TIME).await;
                 done += u64::from(answer.is_ok_and(|answer| answer.status.is_success()));
             }
             done
@@ -95,7 +97,7 @@
     total as f64 / start.elapsed().as_secs_f64()
 }
 
-/// One shape of fleet: capacity, processor time a shard call, memory, latency at a third.
+/// Measures the capacity of a fleet, CPU time per shard call, memory, and latency at a third of the capacity.
 async fn measure(plan: FleetPlan) -> Result<Value, FleetError> {
     let fleet = Fleet::start(plan).await?;
     let entry = fleet.caller_addresses()[0];
@@ -113,18 +115,18 @@
         index: INDEX.to_owned(),
         token: TOKEN.to_owned(),
         rate: rate * LATENCY_SHARE,
-        duration: TIME,
+        duration: MEASURE_TIME,
         headers: Vec::new(),
         latency_goal: DEFAULT_LATENCY_GOAL,
     };
     let report = load::run(&fleet.client, &load_plan).await;
-    let found = json!({
+    let figures = json!({
         "shards": fleet.shards(),
         "upstreams": fleet.servers.len(),
         "queries_a_second": rate.round(),
         "shard_calls_a_second": (rate * fleet.shards() as f64).round(),
         "shard_calls_a_second_a_core": (shard_calls / cpu).round(),
-        "cores_used": cpu / TIME.as_secs_f64(),
+        "cores_used": cpu / MEASURE_TIME.as_secs_f64(),
         "p50_ms_at_a_third": report.p50_ms,
         "p99_ms_at_a_third": report.p99_ms,
         "broken": report.broken,
@@ -133,13 +135,13 @@
         "kb_a_request_in_flight": (busy_kb.iter().sum::<u64>() as f64 - idle_kb.iter().sum::<u64>() as f64) / CONCURRENCY as f64,
     });
     fleet.stop().await;
-    Ok(found)
+    Ok(figures)
 }
 
-/// Processor time of all nodes for one query, in microseconds, at saturation.
+/// CPU time of all nodes for one query at saturation, in microseconds.
 ///
 /// # Errors
-/// The fleet did not come up.
+/// The fleet did not start.
 pub async fn cpu_per_query(plan: FleetPlan) -> Result<f64, FleetError> {
     let fleet = Fleet::start(plan).await?;
     let entry = fleet.caller_addresses()[0];
@@ -153,7 +155,7 @@
     Ok(used / queries * 1e6)
 }
 
-/// Calls straight to a server, as the least a query can take.
+/// Measures calls directly to a server, which is the lower bound of the latency of a query.
 async fn measure_direct() -> Result<Value, FleetError> {
     let fleet = Fleet::start(plan(1, 0, 1)).await?;
     let Some(server) = fleet.all_servers().next() else { return Err(FleetError::NotReady) };
@@ -168,23 +170,23 @@
     let path = format!("/v1/shards/{INDEX}/query");
     let mut latencies = Histogram::<u64>::new(3).map_err(|_| FleetError::NotReady)?;
     let start = Instant::now();
-    while start.elapsed() < TIME {
+    while start.elapsed() < MEASURE_TIME {
         let sent = Instant::now();
         let body = Bytes::from_static(b"{}");
-        fleet.client.call(Method::POST, address, &path, &headers, body, TIME).await?;
+        fleet.client.call(Method::POST, address, &path, &headers, body, MEASURE_TIME).await?;
         latencies.saturating_record(sent.elapsed().as_micros() as u64);
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     let ms = |quantile| latencies.value_at_quantile(quantile) as f64 / 1e3;
-    let found = json!({ "p50_ms": ms(0.5), "p99_ms": ms(0.99) });
+    let figures = json!({ "p50_ms": ms(0.5), "p99_ms": ms(0.99) });
     fleet.stop().await;
-    Ok(found)
+    Ok(figures)
 }
 
-/// Measures a direct call against one hop and two, in one run.
+/// Compares direct calls with queries over one hop and over two hops, in one run.
 ///
 /// # Errors
-/// A fleet did not come up.
+/// A fleet did not start.
 pub async fn run(seed: u64) -> Result<ExperimentReport, FleetError> {
     let direct = measure_direct().await?;
     let one_hop = measure(plan(20, 0, 1)).await?;
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -1,4 +1,5 @@
-//! A small fleet on loopback: a platform, servers and nodes, with a configuration applied.
+//! Starts a small fleet on loopback: a simulated platform, simulated servers and real nodes, with a configuration
+//! applied.
 
 use std::io::Write;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -25,89 +26,89 @@
 use crate::wait::wait_for;
 use streamfold_standin::store::{self as platform, PlatformStandin};
 
-/// The one index of a fleet.
+/// Name of the only index of a fleet.
 pub const INDEX: &str = "carts";
-/// The token of its caller.
+/// Bearer token of a fleet's default caller.
 pub const TOKEN: &str = "demo-token";
-/// The variable that names the folder in which logs of nodes are kept, so that a test that failed can be traced.
-const LOG_FOLDER: &str = "STREAMFOLD_LAB_LOGS";
-/// How long a fleet may take to be ready.
+/// Environment variable with the directory for the nodes' logs, which help to analyse a failed test.
+const LOG_DIRECTORY_VARIABLE: &str = "STREAMFOLD_LAB_LOGS";
+/// Timeout of a fleet to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often readiness is looked at.
-const READY_LOOK: Duration = Duration::from_millis(20);
-/// How long one call of the fleet itself may take.
+/// How often readiness is checked.
+const READY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of one call that the fleet itself makes.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why a fleet did not come up.
+/// Error of starting or controlling a fleet.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// A stand-in could not listen, or a process could not be started.
+    /// A simulated component could not listen, or a process could not be started.
     #[error("starting {what}: {source}")]
     Io {
-        /// What was being started.
+        /// Component that was being started.
         what: &'static str,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// A node could not start.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// An id of the plan is malformed.
+    /// A name in the plan is malformed.
     #[error(transparent)]
     Id(#[from] ParseIdError),
     /// A call failed.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The configuration was not taken.
+    /// The configuration was not accepted.
     #[error("applying the configuration: status {0}: {1}")]
     Apply(StatusCode, String),
-    /// A node did not become ready.
+    /// A node did not become ready in time.
     #[error("a node was not ready within {READY_TIMEOUT:?}")]
     NotReady,
-    /// A process ended before it listened.
-    #[error("a node's process ended before it listened")]
-    NoListening,
+    /// A node's process exited before it logged its addresses.
+    #[error("a node's process exited before it logged its addresses")]
+    NotListening,
 }
 
-/// A node in this process or in one of its own.
+/// Handle of a running node.
 pub enum NodeHandle {
-    /// In this process.
+    /// The node runs in this process.
     Local(RunningNode),
-    /// A process of its own.
+    /// The node runs in a process of its own.
     Process(Child),
 }
 
-/// One node of a fleet.
+/// Node of a fleet.
 pub struct FleetNode {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Its failure domain.
+    /// Failure domain of the node.
     pub domain: &'static str,
-    /// Its ports.
+    /// Addresses that it listens on.
     pub addresses: NodeAddresses,
-    /// The proxy before its peers' port, if it has one.
+    /// Fault proxy before its port for peers, if there is one.
     pub proxy: Option<FaultProxy>,
-    /// The node, until it is stopped.
+    /// Handle of the node; `None` once it was stopped or killed.
     pub handle: Option<NodeHandle>,
 }
 
 /// A running fleet.
 pub struct Fleet {
-    /// How it was made.
+    /// Parameters it was started with.
     pub plan: FleetPlan,
-    /// Its platform.
+    /// Simulated platform with the store.
     pub platform: PlatformStandin,
-    /// Its servers, by upstream; a killed one is `None`.
+    /// Simulated servers by upstream; a killed one is `None`.
     pub servers: Vec<Vec<Option<ServerStandin>>>,
-    /// The proxies before its servers, by upstream and server.
+    /// Fault proxies before the servers, ordered by upstream and server.
     pub proxies: Vec<FaultProxy>,
-    /// Its nodes.
+    /// Nodes, those that were stopped included.
     pub nodes: Vec<FleetNode>,
-    /// Orders its servers ran.
+    /// Log of the orders that the servers ran.
     pub log: Arc<RunLog>,
-    /// A client to call it with.
+    /// HTTP client for calls to the fleet.
     pub client: LabClient,
-    /// The configuration applied.
+    /// Text of the configuration that was applied at the start.
     pub config: String,
 }
 
@@ -120,12 +121,12 @@
 }
 
 impl FleetNode {
-    /// Where other nodes reach it.
+    /// Address at which other nodes reach it: that of its proxy, if there is one.
     pub fn peer_address(&self) -> SocketAddr {
         self.proxy.as_ref().map_or(self.addresses.peers, |proxy| proxy.address)
     }
 
-    /// Sends its process a signal.
+    /// Sends a signal to the process of the node, if it has one of its own.
     pub async fn signal(&self, name: &str) {
         if let Some(NodeHandle::Process(child)) = &self.handle {
             send_signal(child, name).await;
@@ -134,10 +135,10 @@
 }
 
 impl Fleet {
-    /// Starts everything and applies the configuration.
+    /// Starts all parts of a fleet, applies the configuration and waits until the fleet is ready.
     ///
     /// # Errors
-    /// Something did not come up.
+    /// A part did not start or become ready.
     pub async fn start(plan: FleetPlan) -> Result<Self, FleetError> {
         let platform = platform::start(any_port()).await.map_err(io("the platform"))?;
         let log = Arc::new(RunLog::default());
@@ -169,10 +170,10 @@
         Ok(fleet)
     }
 
-    /// Starts one more node.
+    /// Starts one more node and returns its index in `nodes`.
     ///
     /// # Errors
-    /// It cannot start.
+    /// The node cannot start.
     pub async fn add_node(&mut self, domain: &'static str, name: &str) -> Result<usize, FleetError> {
         let seeds: Vec<String> = self.running().map(|node| node.peer_address().to_string()).collect();
         let policy = match self.plan.policy {
@@ -208,7 +209,7 @@
         self.nodes.iter().filter(|node| node.handle.is_some())
     }
 
-    /// Callers' ports of the nodes that were not stopped.
+    /// Addresses for callers of the nodes that were not stopped.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.running().map(|node| node.addresses.callers).collect()
     }
@@ -216,7 +217,7 @@
     /// Applies a configuration through the first node.
     ///
     /// # Errors
-    /// It was not taken.
+    /// The call failed or the configuration was not accepted.
     pub async fn apply(&self, config: &str) -> Result<(), FleetError> {
         let files = vec![SourceFile { name: "fleet.yaml".to_owned(), text: config.to_owned() }];
         let request = ApplyRequest {
@@ -236,10 +237,10 @@
         }
     }
 
-    /// Waits until every node is ready and has heard of all others, and a query is whole.
+    /// Waits until every node reports that it is ready and answers a query with all shards.
     ///
     /// # Errors
-    /// That did not happen in time.
+    /// A node was not ready in time.
     pub async fn wait_ready(&self) -> Result<(), FleetError> {
         let start = Instant::now();
         for node in self.running() {
@@ -247,7 +248,7 @@
                 if start.elapsed() > READY_TIMEOUT {
                     return Err(FleetError::NotReady);
                 }
-                tokio::time::sleep(READY_LOOK).await;
+                tokio::time::sleep(READY_CHECK_INTERVAL).await;
             }
         }
         Ok(())
@@ -263,7 +264,7 @@
         answer.is_some_and(|answer| answer.coverage.missing.is_empty())
     }
 
-    /// One query through a node; `None` if there is no answer.
+    /// Sends one query through a node; `None` if there is no valid answer.
     pub async fn query(&self, callers: SocketAddr) -> Option<streamfold_model::QueryAnswer> {
         let headers = [("authorization", format!("Bearer {TOKEN}"))];
         let headers: Vec<_> = headers.iter().map(|(name, value)| (*name, value.as_str())).collect();
@@ -273,17 +274,17 @@
         serde_json::from_slice(&answer.body).ok()
     }
 
-    /// All servers that run.
+    /// All running servers.
     pub fn all_servers(&self) -> impl Iterator<Item = &ServerStandin> {
         self.servers.iter().flatten().flatten()
     }
 
-    /// Calls that all servers have had.
+    /// Number of calls that the running servers have received.
     pub fn server_calls(&self) -> u64 {
         self.all_servers().map(|server| server.state.counts.calls.load(Ordering::Relaxed)).sum()
     }
 
-    /// Shards of the index.
+    /// Number of shards of the index.
     pub fn shards(&self) -> usize {
         self.servers.len() * self.plan.shards
     }
@@ -293,10 +294,10 @@
         self.servers[upstream][server] = None;
     }
 
-    /// Starts a killed server again at its address, as a new run.
+    /// Restarts a running server at the same address, with a new incarnation and the same newest index version.
     ///
     /// # Errors
-    /// Its port stays taken.
+    /// The server was killed before, or its port stays in use.
     pub async fn restart_server(&mut self, upstream: usize, server: usize) -> Result<(), FleetError> {
         let Some(old) = self.servers[upstream][server].take() else { return Err(FleetError::NotReady) };
         let (address, newest) = (old.address, old.state.switches.newest.load(Ordering::Relaxed));
@@ -310,12 +311,12 @@
                     return Ok(());
                 }
                 Err(error) if start.elapsed() > READY_TIMEOUT => return Err(error),
-                Err(_) => tokio::time::sleep(READY_LOOK).await,
+                Err(_) => tokio::time::sleep(READY_CHECK_INTERVAL).await,
             }
         }
     }
 
-    /// Stops every node as planned.
+    /// Shuts down every node gracefully.
     pub async fn stop(self) {
         for node in self.nodes {
             if let Some(handle) = node.handle {
@@ -326,7 +327,7 @@
 }
 
 impl NodeHandle {
-    /// Stops a node as planned and waits for its end; true if it ended well.
+    /// Shuts a node down gracefully and waits until it exits; returns whether it exited with success.
     pub async fn stop(self) -> bool {
         match self {
             Self::Local(running) => {
@@ -341,7 +342,7 @@
     }
 }
 
-/// Sends a signal to a node's process.
+/// Sends the signal `name`, such as `TERM`, to a node's process.
 pub async fn send_signal(child: &Child, name: &str) {
     let Some(pid) = child.id() else { return };
     let sent = Command::new("kill").arg(format!("-{name}")).arg(pid.to_string()).status().await;
@@ -350,19 +351,20 @@
     }
 }
 
-/// Pauses a node's process. One of its threads takes the signal, and while that one waits for a processor the others go
-/// on, so this waits until all have stopped.
+/// Pauses a node's process and waits until all its threads have stopped. One thread receives the signal, and the others
+/// keep running while that thread waits for a CPU.
 pub async fn pause_process(child: &Child) {
     send_signal(child, "STOP").await;
     let Some(pid) = child.id() else { return };
     wait_for("all threads of the process to stop", async || is_stopped(pid).unwrap_or(true)).await;
 }
 
-/// Whether all threads of a process are stopped, by the third field of their states; a process that is gone has no threads.
+/// Whether all threads of a process are stopped or have exited, according to the third field of their `stat` files.
+/// An error means that the process does not exist any more.
 fn is_stopped(pid: u32) -> std::io::Result<bool> {
     for thread in std::fs::read_dir(format!("/proc/{pid}/task"))? {
         let stat = std::fs::read_to_string(thread?.path().join("stat"))?;
-        // The second field is a name in brackets, which may hold blanks.
+        // The second field is the name in parentheses, which may contain spaces.
         let state = stat.rsplit_once(')').and_then(|(_, rest)| rest.trim_start().chars().next());
         if !matches!(state, Some('T' | 'Z' | 'X')) {
             return Ok(false);
@@ -371,10 +373,10 @@
     Ok(true)
 }
 
-/// Starts a server stand-in of the fleet's index.
+/// Starts a simulated server of the fleet's index.
 ///
 /// # Errors
-/// It cannot listen.
+/// The server cannot listen.
 pub async fn start_server(
     address: SocketAddr,
     plan: &ServerPlan,
@@ -390,11 +392,11 @@
     Ok((running.addresses, NodeHandle::Local(running)))
 }
 
-/// Where the daemon's binary stands: beside this one, or one folder up from a test's.
+/// Finds a binary beside the running one, or one directory up, where it is for a test; otherwise returns the bare name.
 pub fn find_binary(name: &str) -> PathBuf {
     let own = std::env::current_exe().unwrap_or_default();
-    let folders = own.ancestors().skip(1).take(2);
-    let candidates: Vec<PathBuf> = folders.map(|folder| folder.join(name)).collect();
+    let directories = own.ancestors().skip(1).take(2);
+    let candidates: Vec<PathBuf> = directories.map(|directory| directory.join(name)).collect();
     let found = candidates.iter().find(|candidate| candidate.exists());
     found.cloned().unwrap_or_else(|| PathBuf::from(name))
 }
@@ -406,41 +408,41 @@
     let mut command = Command::new(find_binary("streamfoldd"));
     command.arg("--settings").arg(&path).arg("--log").arg("info").stdout(Stdio::piped()).kill_on_drop(true);
     let mut child = command.spawn().map_err(io("streamfoldd"))?;
-    let stdout = child.stdout.take().ok_or(FleetError::NoListening)?;
+    let stdout = child.stdout.take().ok_or(FleetError::NotListening)?;
     let mut lines = BufReader::new(stdout).lines();
     let addresses = loop {
-        let line = lines.next_line().await.ok().flatten().ok_or(FleetError::NoListening)?;
-        if let Some(addresses) = read_listening(&line) {
+        let line = lines.next_line().await.ok().flatten().ok_or(FleetError::NotListening)?;
+        if let Some(addresses) = parse_listening(&line) {
             break addresses;
         }
     };
-    // The settings were read before the node listened.
+    // The node has read its settings before it listens.
     let _ = std::fs::remove_file(&path);
-    tokio::spawn(keep_log(lines, name.to_owned()));
+    tokio::spawn(save_log(lines, name.to_owned()));
     Ok((addresses, NodeHandle::Process(child)))
 }
 
-/// Reads a node's log to its end, into a file of the folder for logs if one is named.
-async fn keep_log(mut lines: Lines<BufReader<ChildStdout>>, name: String) {
-    let folder = std::env::var_os(LOG_FOLDER).map(PathBuf::from);
-    let path = folder.map(|folder| folder.join(format!("{name}-{:08x}.log", rand::random::<u32>())));
+/// Reads a node's log to its end, and writes it into a file if the directory for logs is set.
+async fn save_log(mut lines: Lines<BufReader<ChildStdout>>, name: String) {
+    let directory = std::env::var_os(LOG_DIRECTORY_VARIABLE).map(PathBuf::from);
+    let path = directory.map(|directory| directory.join(format!("{name}-{:08x}.log", rand::random::<u32>())));
     let mut file = path.and_then(|path| match std::fs::File::create(&path) {
         Ok(file) => Some(file),
         Err(error) => {
-            eprintln!("the log of node {name} is not kept in {}: {error}", path.display());
+            eprintln!("cannot save the log of node {name} in {}: {error}", path.display());
             None
         }
     });
     while let Ok(Some(line)) = lines.next_line().await {
         if let Some(file) = &mut file {
-            // A log that ends early only makes a failure harder to trace.
+            // A failed write is ignored: an incomplete log only makes a test failure harder to analyse.
             let _ = writeln!(file, "{line}");
         }
     }
 }
 
-/// The ports in a `listening` log line.
-fn read_listening(line: &str) -> Option<NodeAddresses> {
+/// Parses the addresses in a `listening` log line.
+fn parse_listening(line: &str) -> Option<NodeAddresses> {
     if !line.contains("event=listening") {
         return None;
     }
--- a/crates/lab/src/slopes.rs
+++ b/crates/lab/src/slopes.rs
@@ -1,4 +1,4 @@
-//! Measures how the costs of a node grow, as points, a straight line through them and its error.
+//! Measures how the costs of a node grow with size and fits a straight line to each series of points.
 
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -13,48 +13,49 @@
 use crate::fleet::{Fleet, FleetError};
 use crate::fleet_plan::{DomainPlan, FleetPlan};
 
-/// How long a fleet rests before and while it is measured.
-const SETTLE: Duration = Duration::from_secs(2);
-const WATCH: Duration = Duration::from_secs(8);
-/// Likewise where the store's calls are counted: a waiting watch lasts 20 s.
-const STORE_WATCH: Duration = Duration::from_secs(24);
-/// How long one call may take.
+/// How long a fleet idles before a measurement.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
+/// Duration of a measurement of an idle fleet.
+const MEASURE_TIME: Duration = Duration::from_secs(8);
+/// Duration of a measurement that counts calls to the store: a watch that waits for changes lasts 20 s.
+const STORE_MEASURE_TIME: Duration = Duration::from_secs(24);
+/// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// One measured point.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct SlopePoint {
-    /// The size.
+    /// Size on which the cost depends.
     pub size: f64,
-    /// What was measured.
+    /// Measured value.
     pub value: f64,
 }
 
-/// A line through points.
+/// Straight line fitted to measured points.
 #[derive(Debug, Clone, Serialize)]
 pub struct SlopeFit {
-    /// What was measured, with its unit.
+    /// Measured quantity, with its unit.
     pub name: &'static str,
-    /// What grows.
+    /// Quantity that the size counts.
     pub by: &'static str,
-    /// The points.
+    /// Measured points.
     pub points: Vec<SlopePoint>,
-    /// Value at size 0.
+    /// Value of the line at size 0.
     pub intercept: f64,
-    /// Growth for one more.
+    /// Growth of the value per unit of size.
     pub slope: f64,
     /// The largest distance of a point from the line, as a share of the largest value.
     pub error: f64,
 }
 
-/// Fits a line by least squares.
-fn fit(name: &'static str, by: &'static str, points: Vec<SlopePoint>) -> SlopeFit {
+/// Fits a straight line by least squares.
+fn fit_line(name: &'static str, by: &'static str, points: Vec<SlopePoint>) -> SlopeFit {
     let count = points.len() as f64;
     let mean_size = points.iter().map(|point| point.size).sum::<f64>() / count;
     let mean_value = points.iter().map(|point| point.value).sum::<f64>() / count;
-    let spread: f64 = points.iter().map(|point| (point.size - mean_size).powi(2)).sum();
-    let shared: f64 = points.iter().map(|point| (point.size - mean_size) * (point.value - mean_value)).sum();
-    let slope = shared / spread;
+    let squares: f64 = points.iter().map(|point| (point.size - mean_size).powi(2)).sum();
+    let products: f64 = points.iter().map(|point| (point.size - mean_size) * (point.value - mean_value)).sum();
+    let slope = products / squares;
     let intercept = mean_value - slope * mean_size;
     let largest = points.iter().map(|point| point.value.abs()).fold(f64::MIN_POSITIVE, f64::max);
     let distance = |point: &SlopePoint| (point.value - intercept - slope * point.size).abs() / largest;
@@ -62,7 +63,7 @@
     SlopeFit { name, by, points, intercept, slope, error }
 }
 
-/// Costs of an idle fleet, for each of its nodes.
+/// Costs of an idle fleet: an average over its nodes, but all calls to the store.
 struct IdleCost {
     cpu_share: f64,
     memory_kb: f64,
@@ -83,30 +84,30 @@
     sum
 }
 
-/// Calls that the platform has had, a watch counted when it begins.
+/// Number of calls that the platform's store has received; a watch counts when it starts.
 fn store_calls(fleet: &Fleet) -> f64 {
     let calls = &fleet.platform.state.calls;
     [&calls.reads, &calls.writes, &calls.watches].iter().map(|count| count.load(Ordering::Relaxed) as f64).sum()
 }
 
-async fn measure_idle(plan: FleetPlan, watch: Duration) -> Result<IdleCost, FleetError> {
+async fn measure_idle(plan: FleetPlan, duration: Duration) -> Result<IdleCost, FleetError> {
     let fleet = Fleet::start(plan).await?;
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let pids = cost::pids(&fleet);
     let nodes = pids.len() as f64;
     let (cpu, gossip) = (cost::total_cpu_time(&pids), read_metric(&fleet, "streamfold_gossip_bytes_total").await);
     let calls = store_calls(&fleet);
     let start = Instant::now();
-    tokio::time::sleep(watch).await;
-    let span = start.elapsed().as_secs_f64();
-    let found = IdleCost {
-        cpu_share: (cost::total_cpu_time(&pids) - cpu).as_secs_f64() / span / nodes,
+    tokio::time::sleep(duration).await;
+    let elapsed_s = start.elapsed().as_secs_f64();
+    let costs = IdleCost {
+        cpu_share: (cost::total_cpu_time(&pids) - cpu).as_secs_f64() / elapsed_s / nodes,
         memory_kb: cost::resident_memory_kb(&pids).iter().sum::<u64>() as f64 / nodes,
-        gossip_bytes: (read_metric(&fleet, "streamfold_gossip_bytes_total").await - gossip) / span / nodes,
-        store_calls: (store_calls(&fleet) - calls) / span,
+        gossip_bytes: (read_metric(&fleet, "streamfold_gossip_bytes_total").await - gossip) / elapsed_s / nodes,
+        store_calls: (store_calls(&fleet) - calls) / elapsed_s,
     };
     fleet.stop().await;
-    Ok(found)
+    Ok(costs)
 }
 
 fn idle_plan(domains: &[&'static str], nodes: usize, upstreams: usize) -> FleetPlan {
@@ -119,69 +120,85 @@
     }
 }
 
-/// A size with what an idle fleet of that size cost.
+/// Costs of idle fleets, by size.
 type IdlePoints = Vec<(f64, IdleCost)>;
 
-fn by(points: &IdlePoints, value: fn(&IdleCost) -> f64) -> Vec<SlopePoint> {
+fn to_points(points: &IdlePoints, value: fn(&IdleCost) -> f64) -> Vec<SlopePoint> {
     points.iter().map(|(size, cost)| SlopePoint { size: *size, value: value(cost) }).collect()
 }
 
-async fn control_slopes(fits: &mut Vec<SlopeFit>) -> Result<(), FleetError> {
+async fn measure_control_plane(fits: &mut Vec<SlopeFit>) -> Result<(), FleetError> {
     let mut points = Vec::new();
     for nodes in [4, 8, 16, 24] {
-        points.push((nodes as f64, measure_idle(idle_plan(&["vienna"], nodes, 2), WATCH).await?));
+        points.push((nodes as f64, measure_idle(idle_plan(&["vienna"], nodes, 2), MEASURE_TIME).await?));
     }
-    fits.push(fit("idle CPU of a node, share of a core", "nodes in a domain", by(&points, |cost| cost.cpu_share)));
-    fits.push(fit("memory of a node, KB", "nodes in a domain", by(&points, |cost| cost.memory_kb)));
-    fits.push(fit(
+    fits.push(fit_line(
+        "idle CPU of a node, share of a core",
+        "nodes in a domain",
+        to_points(&points, |cost| cost.cpu_share),
+    ));
+    fits.push(fit_line("memory of a node, KB", "nodes in a domain", to_points(&points, |cost| cost.memory_kb)));
+    fits.push(fit_line(
         "heartbeat bytes sent by a node a second",
         "nodes in a domain",
-        by(&points, |cost| cost.gossip_bytes),
+        to_points(&points, |cost| cost.gossip_bytes),
+    ));
+    fits.push(fit_line(
+        "store calls of all nodes a second",
+        "nodes in a domain",
+        to_points(&points, |cost| cost.store_calls),
     ));
-    fits.push(fit("store calls of all nodes a second", "nodes in a domain", by(&points, |cost| cost.store_calls)));
     let all = ["vienna", "tyrol", "salzburg", "brisbane", "sunshine", "darling", "linz", "graz"];
     let mut points = Vec::new();
     for domains in [1, 2, 4, 8] {
-        points.push((domains as f64, measure_idle(idle_plan(&all[..domains], 2, 1), STORE_WATCH).await?));
+        points.push((domains as f64, measure_idle(idle_plan(&all[..domains], 2, 1), STORE_MEASURE_TIME).await?));
     }
-    fits.push(fit("store calls of all nodes a second", "domains of 2 nodes", by(&points, |cost| cost.store_calls)));
-    fits.push(fit(
+    fits.push(fit_line(
+        "store calls of all nodes a second",
+        "domains of 2 nodes",
+        to_points(&points, |cost| cost.store_calls),
+    ));
+    fits.push(fit_line(
         "heartbeat bytes sent by a node a second",
         "domains of 2 nodes",
-        by(&points, |cost| cost.gossip_bytes),
+        to_points(&points, |cost| cost.gossip_bytes),
     ));
     let mut points = Vec::new();
     for upstreams in [8, 16, 32, 64] {
-        points.push((upstreams as f64 * 2.0, measure_idle(idle_plan(&["vienna"], 1, upstreams), WATCH).await?));
+        points.push((upstreams as f64 * 2.0, measure_idle(idle_plan(&["vienna"], 1, upstreams), MEASURE_TIME).await?));
     }
-    fits.push(fit("idle CPU of a node, share of a core", "servers it owns", by(&points, |cost| cost.cpu_share)));
-    fits.push(fit("memory of a node, KB", "servers it owns", by(&points, |cost| cost.memory_kb)));
+    fits.push(fit_line(
+        "idle CPU of a node, share of a core",
+        "servers it owns",
+        to_points(&points, |cost| cost.cpu_share),
+    ));
+    fits.push(fit_line("memory of a node, KB", "servers it owns", to_points(&points, |cost| cost.memory_kb)));
     Ok(())
 }
 
-async fn data_slopes(fits: &mut Vec<SlopeFit>) -> Result<(), FleetError> {
+async fn measure_data_plane(fits: &mut Vec<SlopeFit>) -> Result<(), FleetError> {
     let mut points = Vec::new();
     for upstreams in [5, 10, 20, 40] {
         let value = cost::cpu_per_query(cost::plan(upstreams, 0, 1)).await?;
         points.push(SlopePoint { size: upstreams as f64, value });
     }
-    fits.push(fit("CPU of a query at its entry and owner, us", "servers called, one hop", points));
+    fits.push(fit_line("CPU of a query at its entry and owner, us", "servers called, one hop", points));
     let mut points = Vec::new();
     for upstreams in [5, 10, 20, 40] {
         let value = cost::cpu_per_query(cost::plan(1, upstreams, 1)).await?;
         points.push(SlopePoint { size: upstreams as f64, value });
     }
-    fits.push(fit("CPU of a query at its entry and owner, us", "servers called, two hops in one batch", points));
+    fits.push(fit_line("CPU of a query at its entry and owner, us", "servers called, two hops in one batch", points));
     let mut points = Vec::new();
     for shards in [1, 4, 16, 64] {
         let value = cost::cpu_per_query(cost::plan(10, 0, shards)).await?;
         points.push(SlopePoint { size: shards as f64 * 10.0, value });
     }
-    fits.push(fit("CPU of a query at its entry and owner, us", "shards on 10 servers", points));
+    fits.push(fit_line("CPU of a query at its entry and owner, us", "shards on 10 servers", points));
     Ok(())
 }
 
-/// A configuration of so many upstreams with two servers each.
+/// Makes a configuration with `upstreams` upstreams of two servers each.
 fn make_config(upstreams: usize) -> SourceFile {
     use std::fmt::Write;
     let mut text = String::from("indexes:\n  carts:\n    layouts:\n      - from_version: 1\n        shards:\n");
@@ -200,7 +217,7 @@
     SourceFile { name: "carts.yaml".to_owned(), text }
 }
 
-fn config_slopes(fits: &mut Vec<SlopeFit>) {
+fn measure_config(fits: &mut Vec<SlopeFit>) {
     let mut times = Vec::new();
     let mut sizes = Vec::new();
     for upstreams in [250, 500, 1_000, 2_000, 4_200] {
@@ -211,18 +228,18 @@
         times.push(SlopePoint { size: upstreams as f64 * 2.0, value });
         sizes.push(SlopePoint { size: upstreams as f64 * 2.0, value: file.text.len() as f64 / 1024.0 });
     }
-    fits.push(fit("time to check a configuration, ms", "servers in it", times));
-    fits.push(fit("size of a configuration, KB", "servers in it", sizes));
+    fits.push(fit_line("time to check a configuration, ms", "servers in it", times));
+    fits.push(fit_line("size of a configuration, KB", "servers in it", sizes));
 }
 
-/// Measures every slope.
+/// Measures all cost series.
 ///
 /// # Errors
-/// A fleet did not come up.
+/// A fleet did not start.
 pub async fn run() -> Result<Vec<SlopeFit>, FleetError> {
     let mut fits = Vec::new();
-    config_slopes(&mut fits);
-    data_slopes(&mut fits).await?;
-    control_slopes(&mut fits).await?;
+    measure_config(&mut fits);
+    measure_data_plane(&mut fits).await?;
+    measure_control_plane(&mut fits).await?;
     Ok(fits)
 }
