--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -75,7 +75,7 @@
     println!("  p50             {:.1} ms", report.p50_ms);
     println!("  p99             {:.1} ms", report.p99_ms);
     println!("  coverage        {:.4}", report.coverage);
-    println!("  extra_load load      {extra_load:.4} (calls to servers beyond one for each upstream and query)");
+    println!("  extra load      {extra_load:.4} (calls to servers beyond one for each upstream and query)");
     println!("  broken          {} (mixed index versions, another request's results, wrong coverage)", report.broken);
 }
 
--- a/crates/lab/src/experiments/apply.rs
+++ b/crates/lab/src/experiments/apply.rs
@@ -27,7 +27,7 @@
 const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
 /// How often the configuration versions in force are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Upper bound of the 99th percentile of the time until a change is in force at all nodes.
+/// Criterion: upper bound of the 99th percentile of the time until a change is in force at all nodes.
 const MAX_PROPAGATION_MS: f64 = 2_000.0;
 
 /// Answers to the changes of one operator.
@@ -98,8 +98,8 @@
 fn propagation_times(outcomes: &[&ApplyOutcomes], samples: &VersionSamples) -> Vec<f64> {
     let accepted = outcomes.iter().flat_map(|outcomes| &outcomes.accepted);
     let delays = accepted.filter_map(|(_, version, at)| {
-        let everywhere = |versions: &[ConfigVersion]| versions.iter().all(|found| found >= version);
-        let first = samples.iter().find(|(when, versions)| when >= at && everywhere(versions));
+        let is_everywhere = |versions: &[ConfigVersion]| versions.iter().all(|found| found >= version);
+        let first = samples.iter().find(|(when, versions)| when >= at && is_everywhere(versions));
         first.map(|(when, _)| when.duration_since(*at).as_secs_f64() * 1e3)
     });
     let mut times: Vec<f64> = delays.collect();
@@ -211,7 +211,7 @@
     Ok(json!({ "changes": CHANGES * 2, "accepted": accepted.len(), "accepted_but_absent": absent }))
 }
 
-/// Runs baseline and policy.
+/// Runs the baseline and the policy.
 ///
 /// # Errors
 /// A fleet did not start.
--- a/crates/lab/src/experiments/crossed.rs
+++ b/crates/lab/src/experiments/crossed.rs
@@ -1,4 +1,4 @@
-//! Answers come late, crossed, cut and broken off; servers send other requests' answers.
+//! Answers are delayed and truncated, connections break, and servers send the answers of other requests.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -13,18 +13,19 @@
 
 const RATE: f64 = 200.0;
 const QUERIES: f64 = 20_000.0;
-/// Of a thousand answers, so many are another request's.
-const CROSSED: u64 = 20;
-/// Of a thousand chunks of answers, after so many the connection breaks off midway.
-const RESETS: u64 = 2;
+/// Answers in a thousand that belong to another request.
+const CROSSED_PER_MILLE: u64 = 20;
+/// Chunks of answers in a thousand that are cut in half, after which the connection closes.
+const RESETS_PER_MILLE: u64 = 2;
+/// Delay of each chunk in each direction, in microseconds.
 const DELAY_US: u64 = 1_000;
-/// How often every connection is broken at once.
-const BREAK_EVERY: Duration = Duration::from_secs(4);
+/// Interval at which each proxy breaks all its connections.
+const BREAK_INTERVAL: Duration = Duration::from_secs(4);
 
 async fn break_connections(faults: Vec<std::sync::Arc<crate::proxy::ProxyFaults>>) {
     loop {
         for fault in &faults {
-            tokio::time::sleep(BREAK_EVERY / faults.len() as u32).await;
+            tokio::time::sleep(BREAK_INTERVAL / faults.len() as u32).await;
             fault.break_all();
         }
     }
@@ -37,12 +38,12 @@
     plan.has_proxies = true;
     let fleet = Fleet::start(plan).await?;
     for server in fleet.all_servers() {
-        server.state.switches.crossed.store(CROSSED, Ordering::Relaxed);
+        server.state.switches.crossed.store(CROSSED_PER_MILLE, Ordering::Relaxed);
     }
-    let before_nodes = fleet.nodes.iter().filter_map(|node: &FleetNode| node.proxy.as_ref());
-    let all: Vec<_> = fleet.proxies.iter().chain(before_nodes).map(|proxy| proxy.faults.clone()).collect();
+    let node_proxies = fleet.nodes.iter().filter_map(|node: &FleetNode| node.proxy.as_ref());
+    let all: Vec<_> = fleet.proxies.iter().chain(node_proxies).map(|proxy| proxy.faults.clone()).collect();
     for faults in &all {
-        faults.resets.store(RESETS, Ordering::Relaxed);
+        faults.resets.store(RESETS_PER_MILLE, Ordering::Relaxed);
         faults.delay_us.store(DELAY_US, Ordering::Relaxed);
     }
     let breaking = tokio::spawn(break_connections(all));
@@ -64,10 +65,10 @@
     }))
 }
 
-/// Runs baseline and policy; the baseline for a quarter of the queries.
+/// Runs the baseline, with a quarter of the queries, and the policy.
 ///
 /// # Errors
-/// A fleet did not come up.
+/// A fleet did not start.
 pub async fn run(seed: u64) -> Result<ExperimentReport, FleetError> {
     let baseline = trial(PolicyChoice::Baseline, QUERIES / 4.0).await?;
     let policy = trial(PolicyChoice::Adaptive, QUERIES).await?;
--- a/crates/lab/src/experiments/freeze.rs
+++ b/crates/lab/src/experiments/freeze.rs
@@ -1,5 +1,5 @@
-//! Our own choice of a break: a node freezes for three seconds, again and again, while others
-//! wait for its batches. Its links stay open and nothing is refused.
+//! Nodes freeze for three seconds, one after the other, while others wait for their batches. The connections to a
+//! frozen node stay open and nothing is refused.
 
 use std::time::Duration;
 
@@ -13,17 +13,18 @@
 
 const UPSTREAMS: usize = 9;
 const RATE: f64 = 100.0;
-const TIME: Duration = Duration::from_secs(12);
-const FREEZE: Duration = Duration::from_secs(3);
-/// What the policy must show: p99 at most this share of the baseline's, and no shard lost.
+const LOAD_TIME: Duration = Duration::from_secs(12);
+const FREEZE_TIME: Duration = Duration::from_secs(3);
+/// Criterion: upper bound of the policy's p99 latency, as a share of the baseline's.
 const MAX_P99_SHARE: f64 = 0.4;
+/// Criterion: lower bound of the coverage: in effect, no shard may be lost.
 const MIN_COVERAGE: f64 = 0.999;
 
-async fn freeze_in_turn(fleet: &Fleet) {
+async fn freeze_nodes(fleet: &Fleet) {
     for number in [2, 3] {
         tokio::time::sleep(Duration::from_secs(2)).await;
         fleet.nodes[number].signal("STOP").await;
-        tokio::time::sleep(FREEZE).await;
+        tokio::time::sleep(FREEZE_TIME).await;
         fleet.nodes[number].signal("CONT").await;
     }
 }
@@ -34,14 +35,15 @@
     plan.deadline = "500ms";
     plan.settings = "lame_duck: 100ms\ngrace: 5s\nheartbeat: 250ms\n".to_owned();
     let fleet = start_warm(plan, RATE).await?;
-    // The balancer has taken the nodes that freeze out, so that only their owning is felt.
+    // The load goes to the other nodes only, as if the load balancer had taken the frozen ones out, so that the freeze
+    // affects queries only through the upstreams that these nodes own.
     let nodes = fleet.caller_addresses().into_iter().enumerate().filter(|(number, _)| ![2, 3].contains(number));
-    let load_plan = LoadPlan { nodes: nodes.map(|(_, node)| node).collect(), ..load_on(&fleet, RATE, TIME) };
+    let load_plan = LoadPlan { nodes: nodes.map(|(_, node)| node).collect(), ..load_on(&fleet, RATE, LOAD_TIME) };
     let client = fleet.client.clone();
     let running = tokio::spawn(async move { load::run(&client, &load_plan).await });
-    freeze_in_turn(&fleet).await;
+    freeze_nodes(&fleet).await;
     let report = running.await.map_err(|_| FleetError::NotReady)?;
-    let after = measure(&fleet, &load_on(&fleet, RATE, FREEZE)).await;
+    let after = measure(&fleet, &load_on(&fleet, RATE, FREEZE_TIME)).await;
     fleet.stop().await;
     Ok(json!({
         "requests": report.requests,
@@ -57,10 +59,10 @@
     }))
 }
 
-/// Runs baseline and policy.
+/// Runs the baseline and the policy.
 ///
 /// # Errors
-/// A fleet did not come up.
+/// A fleet did not start.
 pub async fn run(seed: u64) -> Result<ExperimentReport, FleetError> {
     let baseline = trial(PolicyChoice::Baseline).await?;
     let policy = trial(PolicyChoice::Adaptive).await?;
--- a/crates/lab/src/experiments/mod.rs
+++ b/crates/lab/src/experiments/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments: each runs a baseline and the policy in one run and ends with one JSON object.
+//! Experiments: each compares a baseline with the policy under one load or fault and reports the figures as JSON.
 
 pub mod apply;
 pub mod cold;
@@ -24,53 +24,53 @@
 use crate::fleet::FleetError;
 use streamfold_standin::dice;
 
-/// What an experiment found.
+/// Result of an experiment.
 #[derive(Debug, Clone, Serialize)]
 pub struct ExperimentReport {
-    /// Its name.
+    /// Name of the experiment.
     pub experiment: &'static str,
-    /// The seed it ran with.
+    /// Seed of the random numbers of the load.
     pub seed: u64,
     /// Figures of the baseline.
     pub baseline: Value,
     /// Figures of the policy.
     pub policy: Value,
-    /// Whether what it must show was shown.
+    /// Whether the policy met the criteria of the experiment.
     pub held: bool,
 }
 
-/// The experiments with what each shows.
+/// Names of the experiments, with the load or fault of each.
 pub const EXPERIMENTS: [(&str, &str); 19] = [
-    ("cost", "what the tier itself costs: added latency, processor time and memory, one hop and two"),
-    ("apply", "two operators race 200 changes over a lossy store while nodes are killed"),
+    ("cost", "latency, CPU time and memory that the tier itself adds, over one hop and over two"),
+    ("apply", "two operators apply 200 changes concurrently over a store that loses answers while nodes are killed"),
     ("cold", "a server restarts and is ten times as slow for five seconds"),
-    ("crossed", "answers come late, crossed, cut and broken off; servers send other requests' answers"),
-    ("drain", "servers start to leave while their health endpoints lie about it"),
+    ("crossed", "answers are delayed and truncated, connections break, servers send the answers of other requests"),
+    ("drain", "servers drain while their health endpoints still report that they are healthy"),
     ("freeze", "nodes freeze for three seconds in turn while others wait for their batches"),
     ("hedging", "a fixed budget, a table of load ranges and a continuous rule, side by side"),
-    ("once", "orders with every key, delivered twice, through kills, pauses, lost answers and a store outage"),
+    ("once", "orders with both kinds of key, delivered twice, during kills, pauses, lost answers and a store outage"),
     ("outage", "the store is down, then slow, while a third of the nodes is replaced"),
-    ("overload", "0.5 to 3 times the capacity, most of it from one greedy caller"),
+    ("overload", "a load of 0.5 to 3 times the capacity, most of it from one greedy caller"),
     ("overload-alpenwasch", "the same with Alpenwasch's callers and delays"),
     ("overload-moreton-coast", "the same with Moreton Coast's callers and delays"),
-    ("prefer", "the same losses seen by latency and by coverage callers"),
-    ("shed", "servers shed three in ten calls for ten seconds, then one replica is lost"),
-    ("snapshot", "index versions advance under running queries, one server lags, the index is repartitioned"),
-    ("stop", "every node stopped and replaced in turn, under queries and orders"),
-    ("straggler", "1 attempt in 100 takes 20 times as long, one server is slow and says it is idle"),
+    ("prefer", "a slow upstream, with callers that prefer latency and callers that prefer coverage"),
+    ("shed", "servers shed 3 calls in 10 for ten seconds, then one replica is lost"),
+    ("snapshot", "index versions advance during queries, one server lags, the index is repartitioned"),
+    ("stop", "every node is stopped and replaced in turn under a load of queries and orders"),
+    ("straggler", "1 attempt in 100 takes 20 times as long, one server is slow but reports that it is idle"),
     ("straggler-alpenwasch", "the same with Alpenwasch's callers and delays"),
     ("straggler-moreton-coast", "the same with Moreton Coast's callers and delays"),
 ];
 
-/// Figures as JSON.
+/// Converts figures to JSON.
 fn to_value<T: Serialize>(figures: &T) -> Value {
     serde_json::to_value(figures).unwrap_or_default()
 }
 
-/// Runs one experiment; `None` if there is none of that name.
+/// Runs the experiment with this name; `None` if there is none.
 ///
 /// # Errors
-/// A fleet did not come up.
+/// A fleet did not start.
 pub async fn run(name: &str, seed: u64) -> Option<Result<ExperimentReport, FleetError>> {
     dice::seed(seed);
     match name {
--- a/crates/lab/src/experiments/overload.rs
+++ b/crates/lab/src/experiments/overload.rs
@@ -1,4 +1,4 @@
-//! More load than the servers can take, most of it from one greedy caller.
+//! A load beyond the capacity of the servers, most of it from one greedy caller.
 
 use std::time::Duration;
 
@@ -11,19 +11,22 @@
 use crate::load::{self, LoadPlan, LoadReport};
 
 const UPSTREAMS: usize = 6;
-/// About what the servers of one upstream can serve: 2 servers, 2 slots, 4 ms calls and a
-/// timer that rounds up.
+/// Approximate capacity of an upstream, in queries a second: 2 servers with 2 slots each and calls of 4 ms, which the
+/// timer of the simulated servers rounds up.
 const CAPACITY: f64 = 650.0;
 /// Offered load, as multiples of the capacity.
-const MULTIPLES: [f64; 4] = [0.5, 1.0, 2.0, 3.0];
-/// Callers that ask for less than their fair share, each this share of the capacity.
-const MODEST: [&str; 3] = ["driver", "porter", "housekeeper"];
+const LOAD_MULTIPLES: [f64; 4] = [0.5, 1.0, 2.0, 3.0];
+/// Callers that request less than their fair share.
+const MODEST_CALLERS: [&str; 3] = ["driver", "porter", "housekeeper"];
+/// Load of each modest caller, as a share of the capacity.
 const MODEST_SHARE: f64 = 0.15;
-const TIME: Duration = Duration::from_secs(4);
+const LOAD_TIME: Duration = Duration::from_secs(4);
 const DEADLINE: Duration = Duration::from_millis(200);
-/// What the policy must show.
+/// Criterion: lower bound of the goodput at the highest load, as a share of the best goodput.
 const MIN_GOODPUT_KEPT: f64 = 0.9;
+/// Criterion: lower bound of the share of each modest caller's requests that are answered with all shards in time.
 const MIN_SHARE_KEPT: f64 = 0.9;
+/// Criterion: upper bound of the extra load at twice the capacity and more, as a share.
 const MAX_EXTRA_LOAD: f64 = 0.01;
 
 /// Figures at one load.
@@ -43,12 +46,12 @@
 }
 
 fn caller_load(fleet: &Fleet, token: &str, rate: f64) -> LoadPlan {
-    LoadPlan { token: token.to_owned(), latency_goal: DEADLINE, ..load_on(fleet, rate, TIME) }
+    LoadPlan { token: token.to_owned(), latency_goal: DEADLINE, ..load_on(fleet, rate, LOAD_TIME) }
 }
 
-async fn run_loads(fleet: &Fleet, greedy_rate: f64, modest_rate: f64) -> (LoadReport, Vec<LoadReport>) {
+async fn run_callers(fleet: &Fleet, greedy_rate: f64, modest_rate: f64) -> (LoadReport, Vec<LoadReport>) {
     let mut running = tokio::task::JoinSet::new();
-    for name in MODEST {
+    for name in MODEST_CALLERS {
         let (client, plan) = (fleet.client.clone(), caller_load(fleet, name, modest_rate));
         running.spawn(async move { load::run(&client, &plan).await });
     }
@@ -61,18 +64,18 @@
     let modest_rate = CAPACITY * MODEST_SHARE;
     let offered = CAPACITY * multiple;
     let before = fleet.server_calls();
-    let (greedy, modest) = run_loads(fleet, (offered - modest_rate * 3.0).max(1.0), modest_rate).await;
+    let (greedy, modest) = run_callers(fleet, (offered - modest_rate * 3.0).max(1.0), modest_rate).await;
     let calls = fleet.server_calls() - before;
     let all: Vec<&LoadReport> = modest.iter().chain(std::iter::once(&greedy)).collect();
     let sum = |count: fn(&LoadReport) -> u64| all.iter().map(|report| count(report)).sum::<u64>();
     let admitted = sum(|report| report.answered);
-    let kept = modest.iter().map(|report| report.good as f64 / report.requests as f64);
+    let good_shares = modest.iter().map(|report| report.good as f64 / report.requests as f64);
     let refusals = all.iter().flat_map(|report| &report.refusals);
     OverloadFigures {
         multiple,
         offered,
-        goodput: sum(|report| report.good) as f64 / TIME.as_secs_f64(),
-        modest_share_kept: kept.fold(1.0, f64::min),
+        goodput: sum(|report| report.good) as f64 / LOAD_TIME.as_secs_f64(),
+        modest_share_kept: good_shares.fold(1.0, f64::min),
         p99_ms: all.iter().map(|report| report.p99_ms).fold(0.0, f64::max),
         refused: sum(|report| report.refused),
         partial: sum(|report| report.answered - report.whole),
@@ -86,7 +89,7 @@
 async fn trial(policy: PolicyChoice, user: Option<UserFleet>) -> Result<Vec<OverloadFigures>, FleetError> {
     let mut plan = three_domains(UPSTREAMS, policy);
     plan.deadline = "200ms";
-    plan.callers = MODEST.to_vec();
+    plan.callers = MODEST_CALLERS.to_vec();
     if let Some(user) = user {
         user.configure(&mut plan);
     }
@@ -96,7 +99,7 @@
     }
     fleet.log.keep_requests();
     let mut figures = Vec::new();
-    for multiple in MULTIPLES {
+    for multiple in LOAD_MULTIPLES {
         figures.push(measure(&fleet, multiple).await);
     }
     fleet.stop().await;
@@ -104,20 +107,20 @@
 }
 
 fn is_held(figures: &[OverloadFigures]) -> bool {
-    let best = figures.iter().map(|found| found.goodput).fold(0.0, f64::max);
-    let Some(most) = figures.last() else { return false };
+    let best = figures.iter().map(|figure| figure.goodput).fold(0.0, f64::max);
+    let Some(highest) = figures.last() else { return false };
     let deadline_ms = DEADLINE.as_secs_f64() * 1e3;
-    most.goodput >= MIN_GOODPUT_KEPT * best
-        && figures.iter().all(|found| found.modest_share_kept >= MIN_SHARE_KEPT)
-        && figures.iter().all(|found| found.p99_ms <= deadline_ms)
-        && figures.iter().filter(|found| found.multiple >= 2.0).all(|found| found.extra_load < MAX_EXTRA_LOAD)
-        && figures.iter().all(|found| found.not_run_that_ran == 0 && found.broken == 0)
+    highest.goodput >= MIN_GOODPUT_KEPT * best
+        && figures.iter().all(|figure| figure.modest_share_kept >= MIN_SHARE_KEPT)
+        && figures.iter().all(|figure| figure.p99_ms <= deadline_ms)
+        && figures.iter().filter(|figure| figure.multiple >= 2.0).all(|figure| figure.extra_load < MAX_EXTRA_LOAD)
+        && figures.iter().all(|figure| figure.not_run_that_ran == 0 && figure.broken == 0)
 }
 
-/// Runs baseline and policy over rising load.
+/// Runs the baseline and the policy at increasing loads.
 ///
 /// # Errors
-/// A fleet did not come up.
+/// A fleet did not start.
 pub async fn run(name: &'static str, seed: u64, user: Option<UserFleet>) -> Result<ExperimentReport, FleetError> {
     let baseline = trial(PolicyChoice::Baseline, user).await?;
     let policy = trial(PolicyChoice::Adaptive, user).await?;
--- a/crates/lab/src/experiments/prefer.rs
+++ b/crates/lab/src/experiments/prefer.rs
@@ -1,4 +1,4 @@
-//! A fixed pattern of losses and delays, seen by `latency` and by `coverage` callers.
+//! An upstream is slow; compares the answers to callers that prefer `latency` and to callers that prefer `coverage`.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -14,14 +14,15 @@
 
 const UPSTREAMS: usize = 20;
 const RATE: f64 = 20.0;
-const TIME: Duration = Duration::from_secs(8);
-/// Upstreams of which both servers are this many times as slow.
+const LOAD_TIME: Duration = Duration::from_secs(8);
+/// Number of upstreams whose servers are all slow.
 const SLOW_UPSTREAMS: usize = 1;
-const SLOW_FACTOR: u64 = 40;
+/// How many times as long each call of a slow server takes.
+const SLOWDOWN: u64 = 40;
 
 async fn measure_preference(fleet: &Fleet, prefer: &str) -> Value {
     let headers = vec![(HEADER_PREFER, prefer.to_owned())];
-    let plan = LoadPlan { headers, ..load_on(fleet, RATE, TIME) };
+    let plan = LoadPlan { headers, ..load_on(fleet, RATE, LOAD_TIME) };
     to_value(&measure(fleet, &plan).await)
 }
 
@@ -30,7 +31,7 @@
     plan.deadline = "400ms";
     let fleet = start_warm(plan, RATE).await?;
     for server in fleet.servers.iter().take(SLOW_UPSTREAMS).flatten().flatten() {
-        server.state.switches.slow_factor.store(SLOW_FACTOR, Ordering::Relaxed);
+        server.state.switches.slow_factor.store(SLOWDOWN, Ordering::Relaxed);
     }
     let coverage = measure_preference(&fleet, "coverage").await;
     let latency = measure_preference(&fleet, "latency").await;
@@ -38,10 +39,10 @@
     Ok(json!({ "coverage": coverage, "latency": latency }))
 }
 
-/// Runs baseline and policy; each caller must be better off by its own measure.
+/// Runs the baseline and the policy; with the policy, each caller must do better than the other by its own preference.
 ///
 /// # Errors
-/// A fleet did not come up.
+/// A fleet did not start.
 pub async fn run(seed: u64) -> Result<ExperimentReport, FleetError> {
     let baseline = trial(PolicyChoice::Baseline).await?;
     let policy = trial(PolicyChoice::Adaptive).await?;
--- a/crates/lab/src/experiments/shed.rs
+++ b/crates/lab/src/experiments/shed.rs
@@ -12,17 +12,19 @@
 
 const UPSTREAMS: usize = 12;
 const RATE: f64 = 60.0;
-const SHED: u64 = 300;
+/// Calls in a thousand that every server sheds.
+const SHED_PER_MILLE: u64 = 300;
 const SHED_TIME: Duration = Duration::from_secs(10);
-const SETTLE: Duration = Duration::from_secs(2);
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 const AFTER_TIME: Duration = Duration::from_secs(4);
-/// What the policy must show.
+/// Criterion: lower bound of the coverage.
 const MIN_COVERAGE: f64 = 0.999;
-/// Retries after refusals, as a share of first attempts, at most; see `RetryRates`.
-const RETRY_BUDGET: f64 = 0.5;
-const NORMAL_FACTOR: f64 = 1.3;
+/// Criterion: upper bound of the retries after refusals, as a share of first attempts; see `RetryRates`.
+const MAX_RETRY_SHARE: f64 = 0.5;
+/// Criterion: upper bound of the p99 latency after the shedding, as a multiple of that before.
+const MAX_P99_FACTOR: f64 = 1.3;
 
-fn set_shed(fleet: &Fleet, thousandths: u64) {
+fn set_shed_rate(fleet: &Fleet, thousandths: u64) {
     for server in fleet.all_servers() {
         server.state.switches.shed.store(thousandths, Ordering::Relaxed);
     }
@@ -31,10 +33,10 @@
 async fn trial(policy: PolicyChoice) -> Result<Value, FleetError> {
     let mut fleet = start_warm(three_domains(UPSTREAMS, policy), RATE).await?;
     let before = measure(&fleet, &load_on(&fleet, RATE, AFTER_TIME)).await;
-    set_shed(&fleet, SHED);
+    set_shed_rate(&fleet, SHED_PER_MILLE);
     let during = measure(&fleet, &load_on(&fleet, RATE, SHED_TIME)).await;
-    set_shed(&fleet, 0);
-    tokio::time::sleep(SETTLE).await;
+    set_shed_rate(&fleet, 0);
+    tokio::time::sleep(SETTLE_TIME).await;
     let after = measure(&fleet, &load_on(&fleet, RATE, AFTER_TIME)).await;
     fleet.kill_server(0, 0);
     let lost = measure(&fleet, &load_on(&fleet, RATE, AFTER_TIME)).await;
@@ -54,19 +56,19 @@
     }))
 }
 
-/// Runs baseline and policy.
+/// Runs the baseline and the policy.
 ///
 /// # Errors
-/// A fleet did not come up.
+/// A fleet did not start.
 pub async fn run(seed: u64) -> Result<ExperimentReport, FleetError> {
     let baseline = trial(PolicyChoice::Baseline).await?;
     let policy = trial(PolicyChoice::Adaptive).await?;
     let number = |name: &str| policy[name].as_f64().unwrap_or(f64::NAN);
     let held = number("coverage") >= MIN_COVERAGE
         && number("lost_replica_coverage") >= MIN_COVERAGE
-        && number("extra_load") <= RETRY_BUDGET
+        && number("extra_load") <= MAX_RETRY_SHARE
         && number("after_coverage") >= MIN_COVERAGE
-        && number("after_p99_ms") <= NORMAL_FACTOR * number("before_p99_ms")
+        && number("after_p99_ms") <= MAX_P99_FACTOR * number("before_p99_ms")
         && number("broken") == 0.0;
     Ok(ExperimentReport { experiment: "shed", seed, baseline, policy, held })
 }
--- a/crates/lab/src/experiments/snapshot.rs
+++ b/crates/lab/src/experiments/snapshot.rs
@@ -1,4 +1,4 @@
-//! Index versions advance under running queries, one server lags, and the index is repartitioned.
+//! Index versions advance during queries, one server lags behind, and the index is repartitioned.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -15,22 +15,22 @@
 const UPSTREAMS: usize = 12;
 const RATE: f64 = 250.0;
 const QUERIES: f64 = 20_000.0;
-const ADVANCE_EVERY: Duration = Duration::from_millis(100);
-/// The index version from which on there are twice the shards, reached within the run.
+const ADVANCE_INTERVAL: Duration = Duration::from_millis(100);
+/// Index version from which on there are twice as many shards; the run reaches it.
 const REPARTITION_AT: u64 = 300;
-/// What the policy must show.
-const MIN_WHOLE: f64 = 0.99;
+/// Criterion: lower bound of the share of queries that are answered with all shards.
+const MIN_WHOLE_SHARE: f64 = 0.99;
 
-/// Advances all servers together, but each a little later than the one before, and one of
-/// them always a version behind.
-async fn advance(servers: Vec<Arc<ServerState>>) {
+/// Advances the index version of all servers, one after the other with short delays; the first server is always one
+/// version behind.
+async fn advance_versions(servers: Vec<Arc<ServerState>>) {
     let mut version = 1;
     loop {
-        tokio::time::sleep(ADVANCE_EVERY).await;
+        tokio::time::sleep(ADVANCE_INTERVAL).await;
         version += 1;
         for (number, server) in servers.iter().enumerate() {
-            let behind = u64::from(number == 0);
-            server.switches.newest.store((version - behind).max(1), Ordering::Relaxed);
+            let lag = u64::from(number == 0);
+            server.switches.newest.store((version - lag).max(1), Ordering::Relaxed);
             if number % 8 == 7 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
@@ -43,7 +43,7 @@
     plan.repartition_at = Some(REPARTITION_AT);
     let fleet = Fleet::start(plan).await?;
     let servers = fleet.all_servers().map(|server| server.state.clone()).collect();
-    let advancing = tokio::spawn(advance(servers));
+    let advancing = tokio::spawn(advance_versions(servers));
     let duration = Duration::from_secs_f64(queries / RATE);
     let figures = measure(&fleet, &load_on(&fleet, RATE, duration)).await;
     advancing.abort();
@@ -64,16 +64,16 @@
     }))
 }
 
-/// Runs baseline and policy; the baseline for a quarter of the queries.
+/// Runs the baseline, with a quarter of the queries, and the policy.
 ///
 /// # Errors
-/// A fleet did not come up.
+/// A fleet did not start.
 pub async fn run(seed: u64) -> Result<ExperimentReport, FleetError> {
     let baseline = trial(PolicyChoice::Baseline, QUERIES / 4.0).await?;
     let policy = trial(PolicyChoice::Adaptive, QUERIES).await?;
     let number = |name: &str| policy[name].as_f64().unwrap_or(f64::NAN);
     let held = number("mixed_foreign_or_untrue") == 0.0
-        && number("whole") >= MIN_WHOLE
+        && number("whole") >= MIN_WHOLE_SHARE
         && number("reached_version") > REPARTITION_AT as f64;
     Ok(ExperimentReport { experiment: "snapshot", seed, baseline, policy, held })
 }
--- a/crates/lab/src/experiments/stop.rs
+++ b/crates/lab/src/experiments/stop.rs
@@ -1,4 +1,4 @@
-//! Every node is stopped and replaced in turn, under a load of queries and orders.
+//! Every node is shut down and replaced in turn, under a load of queries and orders.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -16,15 +16,15 @@
 
 const QUERY_RATE: f64 = 60.0;
 const ORDER_RATE: f64 = 40.0;
-/// One slice of load; the nodes it goes to are those that the balancer lists then.
-const SLICE: Duration = Duration::from_millis(500);
-/// How long the balancer goes on sending to a stopping node.
+/// Duration of one slice of the load, which goes to the nodes that the load balancer lists at its start.
+const SLICE_TIME: Duration = Duration::from_millis(500);
+/// How long the load balancer keeps sending to a node that is stopping.
 const BALANCER_LAG: Duration = Duration::from_millis(500);
 
-/// The nodes that the balancer sends to.
+/// Addresses of the nodes that the load balancer sends to.
 type BalancerList = Arc<Mutex<Vec<SocketAddr>>>;
 
-fn listed(list: &BalancerList) -> Vec<SocketAddr> {
+fn balanced_nodes(list: &BalancerList) -> Vec<SocketAddr> {
     list.lock().unwrap_or_else(PoisonError::into_inner).clone()
 }
 
@@ -34,29 +34,29 @@
     list: BalancerList,
     until: Instant,
 ) -> [u64; 5] {
-    let mut sums = [0; 5];
+    let mut totals = [0; 5];
     while Instant::now() < until {
-        let plan = LoadPlan { nodes: listed(&list), duration: SLICE, ..base.clone() };
+        let plan = LoadPlan { nodes: balanced_nodes(&list), duration: SLICE_TIME, ..base.clone() };
         let report = load::run(&client, &plan).await;
-        let found = [report.requests, report.whole, report.failed, report.unknown, report.broken];
-        for (sum, found) in sums.iter_mut().zip(found) {
-            *sum += found;
+        let counts = [report.requests, report.whole, report.failed, report.unknown, report.broken];
+        for (total, count) in totals.iter_mut().zip(counts) {
+            *total += count;
         }
     }
-    sums
+    totals
 }
 
 async fn load_orders(sender: OrderSender, list: BalancerList, until: Instant) {
     while Instant::now() < until {
-        let nodes = listed(&list);
-        let count = (ORDER_RATE * SLICE.as_secs_f64()) as usize;
+        let nodes = balanced_nodes(&list);
+        let count = (ORDER_RATE * SLICE_TIME.as_secs_f64()) as usize;
         let minter = nodes[streamfold_standin::dice::range(0.0..nodes.len() as f64) as usize];
         let tickets = sender.mint(minter, count).await;
         sender.run(&nodes, tickets, ORDER_RATE).await;
     }
 }
 
-async fn roll(fleet: &mut Fleet, list: &BalancerList) -> Result<bool, FleetError> {
+async fn replace_nodes(fleet: &mut Fleet, list: &BalancerList) -> Result<bool, FleetError> {
     let mut ended_well = true;
     for number in 0..fleet.nodes.len() {
         let (domain, name) = (fleet.nodes[number].domain, format!("{}-new", fleet.nodes[number].name));
@@ -73,23 +73,23 @@
     Ok(ended_well)
 }
 
-/// `is_planned` stops nodes by their planned stop; the baseline cuts them off.
-async fn trial(is_planned: bool) -> Result<Value, FleetError> {
+/// Runs one trial: `is_graceful` shuts the nodes down gracefully, the baseline gives them no lame duck and no grace period.
+async fn trial(is_graceful: bool) -> Result<Value, FleetError> {
     let mut plan = three_domains(8, PolicyChoice::Adaptive);
     plan.domains = ["vienna", "tyrol"].map(|name| DomainPlan { name, nodes: 2, upstreams: 4 }).to_vec();
     plan.has_processes = true;
-    // Longer than the balancer's lag and its slice of load, as an operator would set it.
-    let lame_duck = if is_planned { "2s" } else { "0s" };
-    let grace = if is_planned { "10s" } else { "0s" };
+    // Longer than the load balancer's lag and a slice of the load together, as an operator would set it.
+    let lame_duck = if is_graceful { "2s" } else { "0s" };
+    let grace = if is_graceful { "10s" } else { "0s" };
     plan.settings = format!("lame_duck: {lame_duck}\ngrace: {grace}\nheartbeat: 100ms\n");
     let mut fleet = Fleet::start(plan).await?;
     let list: BalancerList = Arc::new(Mutex::new(fleet.caller_addresses()));
     let until = Instant::now() + Duration::from_secs(16);
-    let base = load_on(&fleet, QUERY_RATE, SLICE);
+    let base = load_on(&fleet, QUERY_RATE, SLICE_TIME);
     let queries = tokio::spawn(load_queries(fleet.client.clone(), base, list.clone(), until));
     let sender = OrderSender::new(fleet.client.clone());
     let orders = tokio::spawn(load_orders(sender.clone(), list.clone(), until));
-    let ended_well = roll(&mut fleet, &list).await?;
+    let ended_well = replace_nodes(&mut fleet, &list).await?;
     let [requests, whole, failed, unknown, broken] = queries.await.map_err(|_| FleetError::NotReady)?;
     orders.await.map_err(|_| FleetError::NotReady)?;
     let report = sender.report(&fleet.log);
@@ -106,10 +106,10 @@
     }))
 }
 
-/// Runs baseline and policy.
+/// Runs the baseline and the policy.
 ///
 /// # Errors
-/// A fleet did not come up.
+/// A fleet did not start.
 pub async fn run(seed: u64) -> Result<ExperimentReport, FleetError> {
     let baseline = trial(false).await?;
     let policy = trial(true).await?;
--- a/crates/lab/src/experiments/straggler.rs
+++ b/crates/lab/src/experiments/straggler.rs
@@ -1,4 +1,4 @@
-//! Some attempts straggle, and one server is slow all the time and says it is idle.
+//! Some attempts straggle, and one server is slow all the time but reports that it is idle.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -11,14 +11,16 @@
 
 const UPSTREAMS: usize = 30;
 const RATE: f64 = 60.0;
-const TIME: Duration = Duration::from_secs(8);
-/// Of a thousand attempts, so many take [`FACTOR`] times as long.
-const STRAGGLE: u64 = 10;
-const FACTOR: u64 = 20;
-/// How many times as long every call of the one slow server takes.
-const SLOW: u64 = 10;
-/// What the policy must show.
+const LOAD_TIME: Duration = Duration::from_secs(8);
+/// Attempts in a thousand that straggle.
+const STRAGGLERS_PER_MILLE: u64 = 10;
+/// How many times as long a straggling attempt takes.
+const STRAGGLER_SLOWDOWN: u64 = 20;
+/// How many times as long each call of the slow server takes.
+const SLOW_SERVER_SLOWDOWN: u64 = 10;
+/// Criterion: upper bound of the policy's p99 latency, as a share of the baseline's.
 const MAX_P99_SHARE: f64 = 0.4;
+/// Criterion: upper bound of the extra load, as a share.
 const MAX_EXTRA_LOAD: f64 = 0.05;
 
 async fn trial(policy: PolicyChoice, user: Option<UserFleet>) -> Result<TrialFigures, FleetError> {
@@ -32,22 +34,22 @@
         user.set_delay(&fleet);
     }
     for server in fleet.all_servers() {
-        server.state.switches.straggle_factor.store(FACTOR, Ordering::Relaxed);
-        server.state.switches.straggle.store(STRAGGLE, Ordering::Relaxed);
+        server.state.switches.straggle_factor.store(STRAGGLER_SLOWDOWN, Ordering::Relaxed);
+        server.state.switches.straggle.store(STRAGGLERS_PER_MILLE, Ordering::Relaxed);
     }
     if let Some(server) = fleet.all_servers().next() {
-        server.state.switches.slow_factor.store(SLOW, Ordering::Relaxed);
+        server.state.switches.slow_factor.store(SLOW_SERVER_SLOWDOWN, Ordering::Relaxed);
         server.state.switches.lies.store(true, Ordering::Relaxed);
     }
-    let figures = measure(&fleet, &load_on(&fleet, RATE, TIME)).await;
+    let figures = measure(&fleet, &load_on(&fleet, RATE, LOAD_TIME)).await;
     fleet.stop().await;
     Ok(figures)
 }
 
-/// Runs baseline and policy.
+/// Runs the baseline and the policy.
 ///
 /// # Errors
-/// A fleet did not come up.
+/// A fleet did not start.
 pub async fn run(name: &'static str, seed: u64, user: Option<UserFleet>) -> Result<ExperimentReport, FleetError> {
     let baseline = trial(PolicyChoice::Baseline, user).await?;
     let policy = trial(PolicyChoice::Adaptive, user).await?;
--- a/crates/lab/src/experiments/trial.rs
+++ b/crates/lab/src/experiments/trial.rs
@@ -1,4 +1,4 @@
-//! What experiments share: one fleet under one load, as figures.
+//! Parts that the experiments share: plans of fleets, a warm start, and the measurement of a fleet under a load.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -13,14 +13,14 @@
 /// Figures of one fleet under one load.
 #[derive(Debug, Clone, Serialize)]
 pub struct TrialFigures {
-    /// What the load saw.
+    /// Results of the load.
     #[serde(flatten)]
     pub report: LoadReport,
-    /// Calls to servers beyond one for each upstream and query, as a share.
+    /// Calls to servers beyond one for each upstream and admitted query, as a share.
     pub extra_load: f64,
 }
 
-/// Three failure domains with two nodes each, as the users have, over so many upstreams.
+/// Plans a fleet with three failure domains of two nodes each, as the users have, and `upstreams` upstreams in all.
 pub fn three_domains(upstreams: usize, policy: PolicyChoice) -> FleetPlan {
     let share = |number: usize| upstreams / 3 + usize::from(number < upstreams % 3);
     let names = ["vienna", "tyrol", "salzburg"];
@@ -29,35 +29,35 @@
     FleetPlan { domains: domains.collect(), policy, ..FleetPlan::default() }
 }
 
-/// One of the two users' fleets: three regions with a failure domain each.
+/// Properties of one of the two users' fleets, which have three regions with one failure domain each.
 #[derive(Debug, Clone, Copy)]
 pub struct UserFleet {
-    /// What its callers weigh most.
+    /// Its callers' preference: `latency` or `coverage`.
     pub prefer: &'static str,
-    /// When `latency` callers take less than the whole.
+    /// Time after which `latency` callers accept an answer without all shards.
     pub prefer_within: Option<&'static str>,
     /// One-way delay between regions.
     pub delay: Duration,
 }
 
-/// Alpenwasch: tail latency first.
+/// Alpenwasch, which prefers low tail latency.
 pub const ALPENWASCH: UserFleet =
     UserFleet { prefer: "latency", prefer_within: Some("60ms"), delay: Duration::from_millis(8) };
-/// Moreton Coast: coverage first.
+/// Moreton Coast, which prefers coverage.
 pub const MORETON_COAST: UserFleet =
     UserFleet { prefer: "coverage", prefer_within: None, delay: Duration::from_millis(12) };
 
 impl UserFleet {
-    /// Shapes a plan like this user's fleet; its nodes then stand behind proxies.
+    /// Gives a plan the properties of this user's fleet, with proxies before the servers and nodes.
     pub fn configure(&self, plan: &mut FleetPlan) {
         plan.prefer = self.prefer;
         plan.prefer_within = self.prefer_within;
         plan.has_proxies = true;
     }
 
-    /// Puts the delay between regions on the links between nodes of different ones. A link
-    /// within a region is told apart by its proxy no more than by its node, so links within a
-    /// region are delayed too; that makes the fleet slower than the user's, never faster.
+    /// Delays the connections between nodes by the delay between regions. The proxy before a node cannot tell the
+    /// connections from its own region apart, so these are delayed too, which makes the fleet slower than the user's,
+    /// never faster.
     pub fn set_delay(&self, fleet: &Fleet) {
         for proxy in fleet.nodes.iter().filter_map(|node| node.proxy.as_ref()) {
             proxy.faults.delay_us.store(self.delay.as_micros() as u64, Ordering::Relaxed);
@@ -65,7 +65,7 @@
     }
 }
 
-/// A load on all nodes of a fleet.
+/// Plans a load on all nodes of a fleet.
 pub fn load_on(fleet: &Fleet, rate: f64, duration: Duration) -> LoadPlan {
     LoadPlan {
         nodes: fleet.caller_addresses(),
@@ -78,7 +78,7 @@
     }
 }
 
-/// Runs a load and adds what the servers saw of it.
+/// Runs a load and adds the extra load that the servers received.
 pub async fn measure(fleet: &Fleet, plan: &LoadPlan) -> TrialFigures {
     let before = fleet.server_calls();
     let report = load::run(&fleet.client, plan).await;
@@ -88,13 +88,13 @@
     TrialFigures { extra_load: if ideal > 0.0 { calls as f64 / ideal - 1.0 } else { 0.0 }, report }
 }
 
-/// A fleet, warmed up by a short load so that latencies are known.
+/// Starts a fleet and warms it up by a short load, after which its nodes know latencies.
 ///
 /// # Errors
-/// It did not come up.
+/// The fleet did not start.
 pub async fn start_warm(plan: FleetPlan, rate: f64) -> Result<Fleet, FleetError> {
-    const WARM_UP: Duration = Duration::from_secs(2);
+    const WARM_UP_TIME: Duration = Duration::from_secs(2);
     let fleet = Fleet::start(plan).await?;
-    load::run(&fleet.client, &load_on(&fleet, rate, WARM_UP)).await;
+    load::run(&fleet.client, &load_on(&fleet, rate, WARM_UP_TIME)).await;
     Ok(fleet)
 }
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -392,7 +392,7 @@
     Ok((running.addresses, NodeHandle::Local(running)))
 }
 
-/// Finds a binary beside the running one, or one directory up, where it is for a test; otherwise returns the bare name.
+/// Finds a binary in the directory of the running one or, as for a test, one directory up; otherwise returns `name`.
 pub fn find_binary(name: &str) -> PathBuf {
     let own = std::env::current_exe().unwrap_or_default();
     let directories = own.ancestors().skip(1).take(2);
