--- a/crates/lab/src/experiments/cost.rs
+++ b/crates/lab/src/experiments/cost.rs
@@ -35,7 +35,7 @@
         connections: 100,
         connect_delay: Duration::ZERO,
         base: Duration::ZERO,
-        keeps: 5,
+        max_versions: 5,
     }
 }
 
--- a/crates/lab/src/experiments/crossed.rs
+++ b/crates/lab/src/experiments/crossed.rs
@@ -37,12 +37,12 @@
     plan.proxied = true;
     let fleet = Fleet::start(plan).await?;
     for server in fleet.all_servers() {
-        server.state.switches.crossed.store(CROSSED, Ordering::Relaxed);
+        server.state.switches.crossed_per_mille.store(CROSSED, Ordering::Relaxed);
     }
     let before_nodes = fleet.nodes.iter().filter_map(|node: &FleetNode| node.proxy.as_ref());
     let all: Vec<_> = fleet.proxies.iter().chain(before_nodes).map(|proxy| proxy.faults.clone()).collect();
     for faults in &all {
-        faults.resets.store(RESETS, Ordering::Relaxed);
+        faults.reset_per_mille.store(RESETS, Ordering::Relaxed);
         faults.delay_us.store(DELAY_US, Ordering::Relaxed);
     }
     let breaking = tokio::spawn(break_connections(all));
--- a/crates/lab/src/experiments/drain.rs
+++ b/crates/lab/src/experiments/drain.rs
@@ -33,14 +33,14 @@
     let running = tokio::spawn(async move { load::run(&client, &plan).await });
     tokio::time::sleep(Duration::from_millis(500)).await;
     for server in leaving(&fleet) {
-        server.state.switches.lies.store(true, Ordering::Relaxed);
+        server.state.switches.is_health_faked.store(true, Ordering::Relaxed);
         server.state.switches.draining.store(true, Ordering::Relaxed);
     }
     tokio::time::sleep(GRACE).await;
     let at_grace = late_calls(&fleet);
     tokio::time::sleep(LIE_TIME - GRACE).await;
     for server in leaving(&fleet) {
-        server.state.switches.lies.store(false, Ordering::Relaxed);
+        server.state.switches.is_health_faked.store(false, Ordering::Relaxed);
     }
     let report = running.await.map_err(|_| FleetError::NotReady)?;
     let new_work = late_calls(&fleet) - at_grace;
--- a/crates/lab/src/experiments/hedging.rs
+++ b/crates/lab/src/experiments/hedging.rs
@@ -27,7 +27,7 @@
     let fleet = start_warm(plan, LOADS[0].1).await?;
     for server in fleet.all_servers() {
         server.state.switches.straggle_factor.store(FACTOR, Ordering::Relaxed);
-        server.state.switches.straggle.store(STRAGGLE, Ordering::Relaxed);
+        server.state.switches.straggle_per_mille.store(STRAGGLE, Ordering::Relaxed);
     }
     let mut found = Map::new();
     for (name, rate) in LOADS {
--- a/crates/lab/src/experiments/once.rs
+++ b/crates/lab/src/experiments/once.rs
@@ -55,7 +55,7 @@
 async fn break_things(fleet: &mut Fleet) -> Result<(), FleetError> {
     fleet.platform.state.faults.lost_answers.store(LOST_ANSWERS, Ordering::Relaxed);
     for proxy in fleet.proxies.iter().chain(fleet.nodes.iter().filter_map(|node| node.proxy.as_ref())) {
-        proxy.faults.resets.store(RESETS, Ordering::Relaxed);
+        proxy.faults.reset_per_mille.store(RESETS, Ordering::Relaxed);
     }
     tokio::time::sleep(Duration::from_secs(3)).await;
     if let Some(NodeHandle::Process(mut child)) = fleet.nodes[1].handle.take() {
@@ -97,7 +97,7 @@
     const PLAIN_ORDERS: usize = 500;
     let fleet = Fleet::start(plan(PolicyChoice::Baseline)).await?;
     for proxy in &fleet.proxies {
-        proxy.faults.resets.store(RESETS * 10, Ordering::Relaxed);
+        proxy.faults.reset_per_mille.store(RESETS * 10, Ordering::Relaxed);
     }
     let servers: Vec<SocketAddr> = fleet.proxies.iter().map(|proxy| proxy.address).collect();
     for number in 0..PLAIN_ORDERS {
@@ -108,7 +108,7 @@
             }
         }
     }
-    let doubled = fleet.log.doubled();
+    let doubled = fleet.log.count_duplicates();
     fleet.stop().await;
     Ok(json!({ "orders": PLAIN_ORDERS, "doubled": doubled }))
 }
--- a/crates/lab/src/experiments/overload.rs
+++ b/crates/lab/src/experiments/overload.rs
@@ -94,7 +94,7 @@
     if let Some(user) = user {
         user.delay(&fleet);
     }
-    fleet.log.keep_requests();
+    fleet.log.record_requests();
     let mut figures = Vec::new();
     for multiple in MULTIPLES {
         figures.push(measure(&fleet, multiple).await);
--- a/crates/lab/src/experiments/shed.rs
+++ b/crates/lab/src/experiments/shed.rs
@@ -24,7 +24,7 @@
 
 fn set_shed(fleet: &Fleet, thousandths: u64) {
     for server in fleet.all_servers() {
-        server.state.switches.shed.store(thousandths, Ordering::Relaxed);
+        server.state.switches.shed_per_mille.store(thousandths, Ordering::Relaxed);
     }
 }
 
--- a/crates/lab/src/experiments/straggler.rs
+++ b/crates/lab/src/experiments/straggler.rs
@@ -33,11 +33,11 @@
     }
     for server in fleet.all_servers() {
         server.state.switches.straggle_factor.store(FACTOR, Ordering::Relaxed);
-        server.state.switches.straggle.store(STRAGGLE, Ordering::Relaxed);
+        server.state.switches.straggle_per_mille.store(STRAGGLE, Ordering::Relaxed);
     }
     if let Some(server) = fleet.all_servers().next() {
         server.state.switches.slow_factor.store(SLOW, Ordering::Relaxed);
-        server.state.switches.lies.store(true, Ordering::Relaxed);
+        server.state.switches.is_health_faked.store(true, Ordering::Relaxed);
     }
     let figures = measure(&fleet, &load_on(&fleet, RATE, TIME)).await;
     fleet.stop().await;
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -19,6 +19,6 @@
 pub mod soak_faults;
 pub mod soak_fleet;
 pub mod soak_machine;
-pub mod soak_ways;
+pub mod soak_paths;
 pub mod usage;
 pub mod wait;
--- a/crates/lab/src/proxy.rs
+++ b/crates/lab/src/proxy.rs
@@ -27,19 +27,19 @@
     /// Microseconds each chunk is held, each way.
     pub delay_us: AtomicU64,
     /// New connections are closed at once.
-    pub cut: AtomicBool,
+    pub refuse_connections: AtomicBool,
     /// New connections get a refusal of HTTP to their first bytes and are closed.
-    pub turn_away: AtomicBool,
+    pub reject_requests: AtomicBool,
     /// Bytes towards the server are held.
-    pub pause_out: AtomicBool,
+    pub pause_to_server: AtomicBool,
     /// Bytes towards the client are held.
-    pub pause_back: AtomicBool,
+    pub pause_to_client: AtomicBool,
     /// Bytes both ways are held.
-    pub silent: AtomicBool,
+    pub pause_both: AtomicBool,
     /// Of a thousand chunks towards the client, after so many the connection breaks off midway.
-    pub resets: AtomicU64,
-    /// Connections carried so far.
-    pub carried: AtomicU64,
+    pub reset_per_mille: AtomicU64,
+    /// Connections connections so far.
+    pub connections: AtomicU64,
     break_all: Notify,
 }
 
@@ -85,14 +85,14 @@
     loop {
         let Ok((client, _)) = listener.accept().await else { continue };
         while connections.try_join_next().is_some() {}
-        if faults.cut.load(Ordering::Relaxed) {
+        if faults.refuse_connections.load(Ordering::Relaxed) {
             continue;
         }
-        if faults.turn_away.load(Ordering::Relaxed) {
-            connections.spawn(turn_away(client));
+        if faults.reject_requests.load(Ordering::Relaxed) {
+            connections.spawn(reject_requests(client));
             continue;
         }
-        faults.carried.fetch_add(1, Ordering::Relaxed);
+        faults.connections.fetch_add(1, Ordering::Relaxed);
         let faults = faults.clone();
         let target = *target.lock().unwrap_or_else(PoisonError::into_inner);
         connections.spawn(async move {
@@ -103,14 +103,14 @@
             let (server_read, server_write) = server.into_split();
             tokio::select! {
                 () = faults.break_all.notified() => {}
-                () = carry(&faults, &faults.pause_out, None, client_read, server_write) => {}
-                () = carry(&faults, &faults.pause_back, Some(&faults.resets), server_read, client_write) => {}
+                () = carry(&faults, &faults.pause_to_server, None, client_read, server_write) => {}
+                () = carry(&faults, &faults.pause_to_client, Some(&faults.reset_per_mille), server_read, client_write) => {}
             }
         });
     }
 }
 
-async fn turn_away(mut client: TcpStream) {
+async fn reject_requests(mut client: TcpStream) {
     let mut head = [0; 4 << 10];
     // Read first: a connection closed over unread bytes is reset, and the refusal with it.
     if client.read(&mut head).await.is_ok_and(|length| length > 0) {
@@ -141,7 +141,7 @@
     let write = async move {
         while let Some((due, chunk)) = queue.recv().await {
             tokio::time::sleep_until(due).await;
-            while pause.load(Ordering::Relaxed) || faults.silent.load(Ordering::Relaxed) {
+            while pause.load(Ordering::Relaxed) || faults.pause_both.load(Ordering::Relaxed) {
                 tokio::time::sleep(PAUSE_LOOK).await;
             }
             let breaks = resets.is_some_and(|resets| dice::chance(resets.load(Ordering::Relaxed)));
--- a/crates/lab/src/route_checks.rs
+++ b/crates/lab/src/route_checks.rs
@@ -16,31 +16,33 @@
 const METRICS_WITHIN: Duration = Duration::from_secs(10);
 
 /// A server of a service in the first failure domain.
-pub fn near(id: &str, service: &str) -> RouteServerPlan {
+pub fn local_server(id: &str, service: &str) -> RouteServerPlan {
     RouteServerPlan::new(id, service, DOMAINS[0])
 }
 
 /// A server of a service in the other failure domain.
-pub fn far(id: &str, service: &str) -> RouteServerPlan {
+pub fn remote_server(id: &str, service: &str) -> RouteServerPlan {
     RouteServerPlan::new(id, service, DOMAINS[1])
 }
 
 /// The target of a route to one service.
-pub fn to_service(service: &str) -> Value {
+pub fn service_target(service: &str) -> Value {
     json!({ "service": service })
 }
 
 /// A service whose requests must not run twice.
-pub fn once_to(service: &str) -> Value {
+pub fn non_idempotent_target(service: &str) -> Value {
     json!({ "service": service, "routeType": "non_idempotent" })
 }
 
 /// Two servers of one service behind `/any/` (repeatable) and `/once/`, and one node: `i-0` in
 /// its failure domain, which is asked first, and `i-1` in the other one.
 pub async fn start_pair() -> RouteFleet {
-    let servers = vec![near("i-0", "cart"), far("i-1", "cart")];
-    let routes =
-        vec![write_route("any", "/any/", &to_service("cart")), write_route("once", "/once/", &once_to("cart"))];
+    let servers = vec![local_server("i-0", "cart"), remote_server("i-1", "cart")];
+    let routes = vec![
+        write_route("any", "/any/", &service_target("cart")),
+        write_route("once", "/once/", &non_idempotent_target("cart")),
+    ];
     RouteFleet::start(RouteFleetPlan { nodes: [1, 0], servers, routes, ..RouteFleetPlan::default() })
         .await
         .expect("a fleet")
@@ -48,11 +50,13 @@
 
 /// One server behind `/any/` and `/once/`, and one node.
 pub async fn start_single() -> RouteFleet {
-    let routes =
-        vec![write_route("any", "/any/", &to_service("cart")), write_route("once", "/once/", &once_to("cart"))];
+    let routes = vec![
+        write_route("any", "/any/", &service_target("cart")),
+        write_route("once", "/once/", &non_idempotent_target("cart")),
+    ];
     RouteFleet::start(RouteFleetPlan {
         nodes: [1, 0],
-        servers: vec![near("i-0", "cart")],
+        servers: vec![local_server("i-0", "cart")],
         routes,
         ..RouteFleetPlan::default()
     })
@@ -92,17 +96,17 @@
 }
 
 /// Checks that a success is whole and the own answer of a server that ran this request.
-pub fn check_own(fleet: &RouteFleet, answer: &CallAnswer, id: &str) {
+pub fn check_answer(fleet: &RouteFleet, answer: &CallAnswer, id: &str) {
     assert!(answer.status.is_success(), "{id}: {answer:?}");
     assert_eq!(header(answer, names::REQUEST_ID), Some(id));
     let proof = header(answer, names::PROOF).expect("a proof");
-    let service = fleet.find_proof(id, proof).expect("the proof of a server that ran it");
+    let service = fleet.find_service_by_proof(id, proof).expect("the proof of a server that ran it");
     let server = fleet.servers.iter().find(|server| server.state.plan.service == service).expect("a server");
     assert_eq!(answer.body, server.state.body(), "{id}");
 }
 
 /// A refusal as snapshots show it.
-pub fn tell_refusal(answer: &CallAnswer) -> String {
+pub fn format_refusal(answer: &CallAnswer) -> String {
     let retry = header(answer, "retry-after").map(|wait| wait.parse::<f64>().expect("seconds") > 0.0);
     format!("{} {} retry-after: {retry:?}", answer.status.as_u16(), String::from_utf8_lossy(&answer.body))
 }
--- a/crates/lab/src/route_fleet.rs
+++ b/crates/lab/src/route_fleet.rs
@@ -117,7 +117,7 @@
 
 impl RouteNode {
     /// Reads no more of its log, so that its standard output fills up.
-    pub fn stop_reading(&self) {
+    pub fn stop_reading_log(&self) {
         self.is_log_read.store(false, Ordering::Relaxed);
     }
 
@@ -182,7 +182,7 @@
         }
         (0..fleet.servers.len()).for_each(|position| fleet.register(position, "ready"));
         if has_routes {
-            fleet.put_teams(1, &plan.routes, &plan.teams);
+            fleet.put_team_document(1, &plan.routes, &plan.teams);
         }
         for (domain, count) in plan.nodes.into_iter().enumerate() {
             for number in 0..count {
@@ -207,11 +207,11 @@
 
     /// Writes the operator's document.
     pub fn put_document(&self, version: u64, routes: &[Value]) {
-        self.put_teams(version, routes, &[]);
+        self.put_team_document(version, routes, &[]);
     }
 
     /// Writes the operator's document with teams.
-    pub fn put_teams(&self, version: u64, routes: &[Value], teams: &[Value]) {
+    pub fn put_team_document(&self, version: u64, routes: &[Value], teams: &[Value]) {
         let document = write_team_document(version, routes, teams);
         self.platform.state.put_object(documents::CONFIG, documents::CONFIG_NAME, document);
     }
@@ -226,7 +226,7 @@
     }
 
     /// Requests that servers of a failure domain have read.
-    pub fn count_calls_in(&self, domain: usize) -> usize {
+    pub fn count_domain_calls(&self, domain: usize) -> usize {
         let there = self.servers.iter().filter(|server| server.state.plan.domain == DOMAINS[domain]);
         there.map(|server| server.state.calls().len()).sum()
     }
@@ -345,7 +345,7 @@
     }
 
     /// The service of the server that made a proof for a request.
-    pub fn find_proof(&self, id: &str, proof: &str) -> Option<&str> {
+    pub fn find_service_by_proof(&self, id: &str, proof: &str) -> Option<&str> {
         let made =
             |server: &&RouteServer| server.state.runs().iter().any(|run| run.proof == proof && run.request.id() == id);
         self.servers.iter().find(made).map(|server| server.state.plan.service.as_str())
--- a/crates/lab/src/server.rs
+++ b/crates/lab/src/server.rs
@@ -44,7 +44,7 @@
     /// Typical time of one call; none for an answer at once.
     pub base: Duration,
     /// Index versions held at most.
-    pub keeps: u64,
+    pub max_versions: u64,
 }
 
 impl Default for ServerPlan {
@@ -55,7 +55,7 @@
             connections: 25,
             connect_delay: Duration::from_millis(6),
             base: Duration::from_millis(4),
-            keeps: 5,
+            max_versions: 5,
         }
     }
 }
@@ -64,19 +64,19 @@
 #[derive(Debug)]
 pub struct ServerSwitches {
     /// Of a thousand calls, so many take `straggle_factor` times as long.
-    pub straggle: AtomicU64,
+    pub straggle_per_mille: AtomicU64,
     /// See `straggle`.
     pub straggle_factor: AtomicU64,
     /// Every call takes this many times as long.
     pub slow_factor: AtomicU64,
     /// Of a thousand calls, so many are shed.
-    pub shed: AtomicU64,
+    pub shed_per_mille: AtomicU64,
     /// It is leaving.
     pub draining: AtomicBool,
     /// Its health endpoint and load report say all is well, whatever is true.
-    pub lies: AtomicBool,
+    pub is_health_faked: AtomicBool,
     /// Of a thousand answers, so many are an earlier request's, whole.
-    pub crossed: AtomicU64,
+    pub crossed_per_mille: AtomicU64,
     /// Newest index version held.
     pub newest: AtomicU64,
 }
@@ -93,7 +93,7 @@
     /// Calls that came in while leaving.
     pub calls_while_draining: AtomicU64,
     /// The most connections open at once.
-    pub most_connections: AtomicUsize,
+    pub max_open_connections: AtomicUsize,
     /// Connections closed for being over the limit.
     pub refused_connections: AtomicU64,
 }
@@ -103,7 +103,7 @@
 pub struct RunLog {
     runs: Mutex<HashMap<String, u64>>,
     requests: Mutex<HashSet<String>>,
-    keeps_requests: AtomicBool,
+    has_request_recording: AtomicBool,
 }
 
 impl RunLog {
@@ -113,12 +113,12 @@
     }
 
     /// Keeps the ids of all requests run from now on.
-    pub fn keep_requests(&self) {
-        self.keeps_requests.store(true, Ordering::Relaxed);
+    pub fn record_requests(&self) {
+        self.has_request_recording.store(true, Ordering::Relaxed);
     }
 
     fn note_request(&self, request: &str) {
-        if self.keeps_requests.load(Ordering::Relaxed) {
+        if self.has_request_recording.load(Ordering::Relaxed) {
             self.requests.lock().unwrap_or_else(PoisonError::into_inner).insert(request.to_owned());
         }
     }
@@ -134,7 +134,7 @@
     }
 
     /// Keys that ran more than once.
-    pub fn doubled(&self) -> usize {
+    pub fn count_duplicates(&self) -> usize {
         self.runs.lock().unwrap_or_else(PoisonError::into_inner).values().filter(|count| **count > 1).count()
     }
 }
@@ -190,13 +190,13 @@
     let state = Arc::new(ServerState {
         plan,
         switches: ServerSwitches {
-            straggle: AtomicU64::new(0),
+            straggle_per_mille: AtomicU64::new(0),
             straggle_factor: AtomicU64::new(1),
             slow_factor: AtomicU64::new(1),
-            shed: AtomicU64::new(0),
+            shed_per_mille: AtomicU64::new(0),
             draining: AtomicBool::new(false),
-            lies: AtomicBool::new(false),
-            crossed: AtomicU64::new(0),
+            is_health_faked: AtomicBool::new(false),
+            crossed_per_mille: AtomicU64::new(0),
             newest: AtomicU64::new(1),
         },
         counts: ServerCounts::default(),
@@ -223,7 +223,7 @@
             state.counts.refused_connections.fetch_add(1, Ordering::Relaxed);
             continue;
         }
-        state.counts.most_connections.fetch_max(open, Ordering::Relaxed);
+        state.counts.max_open_connections.fetch_max(open, Ordering::Relaxed);
         let state = state.clone();
         connections.spawn(async move {
             tokio::time::sleep(state.plan.connect_delay).await;
@@ -253,7 +253,7 @@
 }
 
 fn health(state: &ServerState) -> Response<Full<Bytes>> {
-    let lies = state.switches.lies.load(Ordering::Relaxed);
+    let lies = state.switches.is_health_faked.load(Ordering::Relaxed);
     let draining = state.switches.draining.load(Ordering::Relaxed) && !lies;
     let (oldest, newest) = state.held();
     let (index, load, incarnation) = (&state.index, state.load(), state.incarnation);
@@ -275,11 +275,11 @@
 impl ServerState {
     fn held(&self) -> (u64, u64) {
         let newest = self.switches.newest.load(Ordering::Relaxed);
-        (newest.saturating_sub(self.plan.keeps - 1).max(1), newest)
+        (newest.saturating_sub(self.plan.max_versions - 1).max(1), newest)
     }
 
     fn load(&self) -> f64 {
-        if self.switches.lies.load(Ordering::Relaxed) {
+        if self.switches.is_health_faked.load(Ordering::Relaxed) {
             return 0.0;
         }
         let running = self.plan.slots - self.slots.available_permits();
@@ -318,8 +318,8 @@
             return self.refuse(StatusCode::CONFLICT, attempt);
         }
         let waiting = self.waiting.fetch_add(1, Ordering::Relaxed);
-        let permit = WaitCount(&self.waiting);
-        if chance(&self.switches.shed) || waiting >= self.plan.slots + self.plan.queue {
+        let permit = WaitingGuard(&self.waiting);
+        if chance(&self.switches.shed_per_mille) || waiting >= self.plan.slots + self.plan.queue {
             self.counts.sheds.fetch_add(1, Ordering::Relaxed);
             return self.refuse(StatusCode::SERVICE_UNAVAILABLE, attempt);
         }
@@ -335,7 +335,7 @@
         let own = (attempt.to_owned(), version, Bytes::from(results(&shards, version, request, body)));
         let earlier = self.last.lock().unwrap_or_else(PoisonError::into_inner).replace(own.clone());
         let (attempt, version, body) = match earlier {
-            Some(earlier) if chance(&self.switches.crossed) => earlier,
+            Some(earlier) if chance(&self.switches.crossed_per_mille) => earlier,
             _ => own,
         };
         let mut response = self.response(StatusCode::OK, &attempt, body);
@@ -349,16 +349,16 @@
         }
         let mut factor = dice::range(0.75..1.25);
         factor *= self.switches.slow_factor.load(Ordering::Relaxed) as f64;
-        if chance(&self.switches.straggle) {
+        if chance(&self.switches.straggle_per_mille) {
             factor *= self.switches.straggle_factor.load(Ordering::Relaxed) as f64;
         }
         tokio::time::sleep(self.plan.base.mul_f64(factor)).await;
     }
 }
 
-struct WaitCount<'a>(&'a AtomicUsize);
+struct WaitingGuard<'a>(&'a AtomicUsize);
 
-impl Drop for WaitCount<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -16,9 +16,9 @@
 
 use crate::client::LabClient;
 use crate::route_fleet::RouteFleetError;
-use crate::soak_audit::{BrokenPromise, SoakAudit, SoakRoute, Violation};
-use crate::soak_callers::{CallerLog, keep_calling};
-use crate::soak_faults::{FaultLane, watch_processes};
+use crate::soak_audit::{SoakAudit, SoakRoute, Violation, ViolationKind};
+use crate::soak_callers::{CallerLog, run_caller};
+use crate::soak_faults::{FaultInjector, watch_processes};
 use crate::soak_fleet::{SoakFleet, lock};
 use crate::soak_machine::watch_machine;
 
@@ -131,7 +131,7 @@
         outcomes,
         routed,
         spared,
-        links: fleet.nodes.iter().map(|node| node.links.faults.carried.load(Ordering::Relaxed)).sum(),
+        links: fleet.nodes.iter().map(|node| node.links.faults.connections.load(Ordering::Relaxed)).sum(),
         delegated: fleet.count_logged(&[" event=request ", " peers="]),
         relays: fleet.count_logged(&[" event=reader_followed "]),
         faults: fleet.faults.load(Ordering::Relaxed),
@@ -146,7 +146,7 @@
     for node in 0..fleet.nodes.len() {
         for (number, route) in SoakRoute::ALL.into_iter().chain([SoakRoute::Once]).enumerate() {
             let own = seed.wrapping_mul(1_000) + (node * 10 + number) as u64;
-            callers.spawn(keep_calling(fleet.clone(), log.clone(), node, route, own));
+            callers.spawn(run_caller(fleet.clone(), log.clone(), node, route, own));
         }
     }
     callers
@@ -157,7 +157,7 @@
     let end = Instant::now() + plan.time;
     let lane = |number: u64| {
         let dice = SmallRng::seed_from_u64(plan.seed.wrapping_mul(100).wrapping_add(number));
-        FaultLane { fleet: fleet.clone(), dice, end }
+        FaultInjector { fleet: fleet.clone(), dice, end }
     };
     let (even, odd): (Vec<usize>, Vec<usize>) = (0..fleet.nodes.len()).partition(|node| node % 2 == 0);
     let mut lanes = JoinSet::new();
@@ -200,7 +200,7 @@
 fn note_panics(fleet: &SoakFleet) {
     for node in &fleet.nodes {
         for line in node.logged(&[PANICKED]) {
-            fleet.note(BrokenPromise::Panicked, &node.name, line);
+            fleet.note(ViolationKind::Panicked, &node.name, line);
         }
     }
 }
@@ -235,7 +235,7 @@
         row = if is_success { row + 1 } else { 0 };
         if begin.elapsed() > BACK_WITHIN {
             let seen = format!("no three successes in a row on route {} within {BACK_WITHIN:?}", route.name());
-            return fleet.note(BrokenPromise::NotBack, &fleet.nodes[node].name, seen);
+            return fleet.note(ViolationKind::NotBack, &fleet.nodes[node].name, seen);
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
--- a/crates/lab/src/soak_audit.rs
+++ b/crates/lab/src/soak_audit.rs
@@ -10,7 +10,7 @@
 use streamfold_standin::server::{ReadRequest, make_records};
 
 use crate::client::{CallAnswer, CallError};
-use crate::soak_fleet::{GoneEntry, MIN_COVERAGE, SHARDS, SoakFleet, TOP, color_name, color_of, lock};
+use crate::soak_fleet::{MIN_COVERAGE, SHARDS, SoakFleet, TOP, WithdrawnEntry, color_name, color_of, lock};
 
 /// How long after a newer document requests may still go by the older one.
 const APPLY_BOUND: Duration = Duration::from_secs(5);
@@ -21,7 +21,7 @@
 
 /// A promise of the pages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BrokenPromise {
+pub enum ViolationKind {
     /// A request that must not repeat ran twice.
     RanTwice,
     /// A request was told as not run and ran.
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone)]
 pub struct Violation {
     /// The promise.
-    pub promise: BrokenPromise,
+    pub promise: ViolationKind,
     /// The request, or the node.
     pub request: String,
     /// What was seen.
@@ -71,7 +71,7 @@
 
 /// What a disturbance concerns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SpanKind {
+pub enum DisturbanceKind {
     /// The way to the store or what is in it.
     Store,
     /// The process is paused.
@@ -84,7 +84,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Span {
-    kind: SpanKind,
+    kind: DisturbanceKind,
     node: Option<usize>,
     from: Instant,
     until: Option<Instant>,
@@ -102,16 +102,16 @@
 
 /// When what was disturbed.
 #[derive(Default)]
-pub struct SpanLog(Mutex<Vec<Span>>);
+pub struct DisturbanceLog(Mutex<Vec<Span>>);
 
-impl SpanLog {
+impl DisturbanceLog {
     /// Begins a span; its number ends it.
-    pub fn begin(&self, kind: SpanKind, node: Option<usize>) -> usize {
+    pub fn begin(&self, kind: DisturbanceKind, node: Option<usize>) -> usize {
         self.begin_at(kind, node, Instant::now())
     }
 
     /// Begins a span that was noticed late.
-    pub fn begin_at(&self, kind: SpanKind, node: Option<usize>, from: Instant) -> usize {
+    pub fn begin_at(&self, kind: DisturbanceKind, node: Option<usize>, from: Instant) -> usize {
         let mut spans = lock(&self.0);
         spans.push(Span { kind, node, from, until: None });
         spans.len() - 1
@@ -123,13 +123,13 @@
     }
 
     /// Whether a node was disturbed in some of these ways in a time.
-    fn has(&self, node: usize, kinds: &[SpanKind], from: Instant, until: Instant) -> bool {
+    fn has(&self, node: usize, kinds: &[DisturbanceKind], from: Instant, until: Instant) -> bool {
         let spans = lock(&self.0);
         spans.iter().any(|span| span.concerns(Some(node)) && kinds.contains(&span.kind) && span.overlaps(from, until))
     }
 
     /// Whether anything is disturbed in a way just now.
-    pub fn is_on(&self, kind: SpanKind) -> bool {
+    pub fn is_on(&self, kind: DisturbanceKind) -> bool {
         let now = Instant::now();
         lock(&self.0).iter().any(|span| span.kind == kind && span.overlaps(now, now))
     }
@@ -137,7 +137,7 @@
     /// Whether a node's process was asked to end, or did.
     pub fn is_leaving(&self, node: usize) -> bool {
         let now = Instant::now();
-        self.has(node, &[SpanKind::Stopping, SpanKind::Down], now, now)
+        self.has(node, &[DisturbanceKind::Stopping, DisturbanceKind::Down], now, now)
     }
 
     /// Since when a node, or every one, should have known at a moment what was changed at
@@ -149,10 +149,10 @@
         let (mut since, mut pauses) = (change, Vec::new());
         for span in concerned {
             match (span.kind, span.until.filter(|until| *until < at)) {
-                (SpanKind::Stopping, _) => {}
+                (DisturbanceKind::Stopping, _) => {}
                 (_, None) => return None,
-                (SpanKind::Paused, Some(until)) => pauses.push((span.from, until)),
-                (SpanKind::Store | SpanKind::Down, Some(until)) => since = since.max(until),
+                (DisturbanceKind::Paused, Some(until)) => pauses.push((span.from, until)),
+                (DisturbanceKind::Store | DisturbanceKind::Down, Some(until)) => since = since.max(until),
             }
         }
         let lost = pauses.iter().map(|(from, until)| until.saturating_duration_since(since.max(*from)));
@@ -195,7 +195,7 @@
 }
 
 /// A request as its caller saw it.
-pub struct SeenRequest {
+pub struct ObservedRequest {
     /// Its id, which is its body too.
     pub id: String,
     /// Its route.
@@ -214,7 +214,7 @@
     pub result: Result<CallAnswer, CallError>,
 }
 
-impl SeenRequest {
+impl ObservedRequest {
     /// Its route and status or error, for counts.
     pub fn outcome(&self) -> String {
         let end = match &self.result {
@@ -235,33 +235,33 @@
 }
 
 /// A request at a server.
-struct ServerSight {
+struct ServerObservation {
     server: usize,
     request: ReadRequest,
     proof: String,
 }
 
-type SightsById = HashMap<String, Vec<ServerSight>>;
+type ObservationsById = HashMap<String, Vec<ServerObservation>>;
 
 /// One look at everything that callers and servers saw so far.
 pub struct SoakAudit<'a> {
     fleet: &'a SoakFleet,
-    seen: &'a [Arc<SeenRequest>],
-    runs: SightsById,
-    calls: SightsById,
+    seen: &'a [Arc<ObservedRequest>],
+    runs: ObservationsById,
+    calls: ObservationsById,
 }
 
 impl<'a> SoakAudit<'a> {
     /// Gathers what servers saw, after what callers saw.
-    pub fn new(fleet: &'a SoakFleet, seen: &'a [Arc<SeenRequest>]) -> Self {
-        let (mut runs, mut calls) = (SightsById::new(), SightsById::new());
+    pub fn new(fleet: &'a SoakFleet, seen: &'a [Arc<ObservedRequest>]) -> Self {
+        let (mut runs, mut calls) = (ObservationsById::new(), ObservationsById::new());
         for (server, known) in fleet.servers.iter().enumerate() {
             for run in known.server.state.runs() {
-                let sight = ServerSight { server, request: run.request, proof: run.proof };
+                let sight = ServerObservation { server, request: run.request, proof: run.proof };
                 runs.entry(sight.request.id().to_owned()).or_default().push(sight);
             }
             for request in known.server.state.calls() {
-                let sight = ServerSight { server, request, proof: String::new() };
+                let sight = ServerObservation { server, request, proof: String::new() };
                 calls.entry(sight.request.id().to_owned()).or_default().push(sight);
             }
         }
@@ -273,7 +273,7 @@
     pub fn count_ripe(&self) -> (usize, usize) {
         let spans = &self.fleet.spans;
         let (versions, gone) = (self.fleet.versions(), self.fleet.gone());
-        let is_ripe = |request: &SeenRequest, change: Instant, bound: Duration| {
+        let is_ripe = |request: &ObservedRequest, change: Instant, bound: Duration| {
             let node = (request.route != SoakRoute::All).then_some(request.node);
             let since = spans.known_since(node, change, request.sent);
             change < request.sent && since.is_some_and(|since| request.sent > since + bound)
@@ -286,8 +286,8 @@
             newest.is_some_and(|newest| is_ripe(request, newest.at, APPLY_BOUND))
         });
         let spared = self.seen.iter().filter(|request| {
-            let asks = |gone: &GoneEntry| {
-                let begins = |call: &ServerSight| gone.id.starts_with(&format!("{}-i", self.service(call)));
+            let asks = |gone: &WithdrawnEntry| {
+                let begins = |call: &ServerObservation| gone.id.starts_with(&format!("{}-i", self.service(call)));
                 self.calls(&request.id).iter().any(begins)
             };
             let away = gone.iter().filter(|gone| gone.until.is_none_or(|until| request.sent < until));
@@ -305,21 +305,21 @@
             self.check_left(request);
             match request.route {
                 SoakRoute::All => self.check_fold(request),
-                SoakRoute::Any | SoakRoute::Once => self.check_own(request),
+                SoakRoute::Any | SoakRoute::Once => self.check_answer(request),
             }
         }
         self.check_routes();
     }
 
-    fn runs(&self, id: &str) -> &[ServerSight] {
+    fn runs(&self, id: &str) -> &[ServerObservation] {
         self.runs.get(id).map_or(&[], Vec::as_slice)
     }
 
-    fn calls(&self, id: &str) -> &[ServerSight] {
+    fn calls(&self, id: &str) -> &[ServerObservation] {
         self.calls.get(id).map_or(&[], Vec::as_slice)
     }
 
-    fn note(&self, promise: BrokenPromise, request: &SeenRequest, seen: &str) {
+    fn note(&self, promise: ViolationKind, request: &ObservedRequest, seen: &str) {
         let node = &self.fleet.nodes[request.node].name;
         let (sent, ended) = (self.fleet.seconds(request.sent), self.fleet.seconds(request.ended));
         let outcome = request.outcome();
@@ -327,24 +327,24 @@
         self.fleet.note(promise, &request.id, text);
     }
 
-    fn check_runs(&self, request: &SeenRequest) {
+    fn check_runs(&self, request: &ObservedRequest) {
         let runs = self.runs(&request.id);
         if request.route == SoakRoute::Once {
             let proofs: Vec<&str> = runs.iter().map(|run| run.proof.as_str()).collect();
             if runs.len() > 1 {
-                self.note(BrokenPromise::RanTwice, request, &format!("{proofs:?}"));
+                self.note(ViolationKind::RanTwice, request, &format!("{proofs:?}"));
             }
             if matches!(request.status(), 429 | 503) && !runs.is_empty() {
-                self.note(BrokenPromise::RanThoughRefused, request, &format!("{proofs:?}"));
+                self.note(ViolationKind::RanThoughRefused, request, &format!("{proofs:?}"));
             }
         }
         let path = format!("/{}/x", request.route.name());
         for run in runs.iter().filter(|run| run.request.body != request.id || run.request.path != path) {
-            self.note(BrokenPromise::Changed, request, &format!("{:?}", run.request));
+            self.note(ViolationKind::Changed, request, &format!("{:?}", run.request));
         }
     }
 
-    fn check_own(&self, request: &SeenRequest) {
+    fn check_answer(&self, request: &ObservedRequest) {
         let Ok(answer) = &request.result else { return };
         let proof = request.header(names::PROOF);
         if !answer.status.is_success() && proof.is_none() {
@@ -354,11 +354,11 @@
         let is_whole = run.is_some_and(|run| answer.body == self.fleet.servers[run.server].server.state.body());
         if !is_whole || request.header(names::REQUEST_ID) != Some(&request.id) {
             let seen = format!("proof {proof:?}, ran {}, whole {is_whole}, {:?}", run.is_some(), answer.headers);
-            self.note(BrokenPromise::NotOwn, request, &seen);
+            self.note(ViolationKind::NotOwn, request, &seen);
         }
     }
 
-    fn check_fold(&self, request: &SeenRequest) {
+    fn check_fold(&self, request: &ObservedRequest) {
         let Some(answer) = request.result.as_ref().ok().filter(|answer| answer.status.is_success()) else { return };
         let values = answer.headers.get_all(names::FOLDED_PROOFS).iter().filter_map(|value| value.to_str().ok());
         let proofs: Vec<&str> = values.flat_map(|value| value.split(',')).map(str::trim).collect();
@@ -373,34 +373,34 @@
         if !is_right {
             let seen =
                 format!("proofs {proofs:?}, shards {shards:?}, missing {missing:?}, {} bytes", answer.body.len());
-            self.note(BrokenPromise::BadFold, request, &seen);
+            self.note(ViolationKind::BadFold, request, &seen);
         }
     }
 
-    fn service(&self, sight: &ServerSight) -> &str {
+    fn service(&self, sight: &ServerObservation) -> &str {
         &self.fleet.servers[sight.server].server.state.plan.service
     }
 
-    fn check_end(&self, request: &SeenRequest) {
+    fn check_end(&self, request: &ObservedRequest) {
         let (sent, ended) = (request.sent, request.ended);
-        let has = |kinds: &[SpanKind]| self.fleet.spans.has(request.node, kinds, sent, ended);
+        let has = |kinds: &[DisturbanceKind]| self.fleet.spans.has(request.node, kinds, sent, ended);
         let took = ended - sent;
-        if took > request.deadline + LATE_BOUND && !has(&[SpanKind::Paused, SpanKind::Down]) {
-            self.note(BrokenPromise::Late, request, &format!("{took:?} with a deadline of {:?}", request.deadline));
+        if took > request.deadline + LATE_BOUND && !has(&[DisturbanceKind::Paused, DisturbanceKind::Down]) {
+            self.note(ViolationKind::Late, request, &format!("{took:?} with a deadline of {:?}", request.deadline));
         }
         if let Err(CallError::Exchange(error)) = &request.result {
             // A node that stops may close a kept connection before it has read a request on it.
-            let was_read = !self.calls(&request.id).is_empty() || !has(&[SpanKind::Stopping]);
-            if was_read && !has(&[SpanKind::Down]) {
+            let was_read = !self.calls(&request.id).is_empty() || !has(&[DisturbanceKind::Stopping]);
+            if was_read && !has(&[DisturbanceKind::Down]) {
                 let calls = self.calls(&request.id).len();
-                self.note(BrokenPromise::Cut, request, &format!("{error}, {calls} calls at servers"));
+                self.note(ViolationKind::Cut, request, &format!("{error}, {calls} calls at servers"));
             }
         }
     }
 
     /// Entries that are gone, and the calls that their servers got all the same. What is left
     /// of the deadline tells when a node sent the call, however long it was under way.
-    fn check_left(&self, request: &SeenRequest) {
+    fn check_left(&self, request: &ObservedRequest) {
         let gone = self.fleet.gone();
         for call in self.calls(&request.id) {
             let Some(target) = call.request.header(names::TARGET_SERVER) else { continue };
@@ -413,7 +413,7 @@
                 if is_late && entry.until.is_none_or(|until| at < until) {
                     let seen = format!("{target} gone at {:.3} s", self.fleet.seconds(entry.from));
                     let sent = format!("{seen}, called at {:.3} s", self.fleet.seconds(at));
-                    self.note(BrokenPromise::LeftServer, request, &sent);
+                    self.note(ViolationKind::LeftServer, request, &sent);
                 }
             }
         }
@@ -421,7 +421,7 @@
 
     fn check_routes(&self) {
         let versions = self.fleet.versions();
-        let mut in_order: Vec<&SeenRequest> =
+        let mut in_order: Vec<&ObservedRequest> =
             self.seen.iter().map(AsRef::as_ref).filter(|seen| seen.route != SoakRoute::All).collect();
         in_order.sort_by_key(|request| request.ended);
         for request in &in_order {
@@ -429,7 +429,7 @@
                 self.check_age(request, self.service(call), &versions);
             }
         }
-        let mut by_run: HashMap<(usize, u64), Vec<&SeenRequest>> = HashMap::new();
+        let mut by_run: HashMap<(usize, u64), Vec<&ObservedRequest>> = HashMap::new();
         for request in in_order {
             if let Some(run) = request.run {
                 by_run.entry((request.node, run)).or_default().push(request);
@@ -439,7 +439,7 @@
     }
 
     /// Whether a request went by routes that had long been replaced.
-    fn check_age(&self, request: &SeenRequest, service: &str, versions: &[WrittenVersion]) {
+    fn check_age(&self, request: &ObservedRequest, service: &str, versions: &[WrittenVersion]) {
         let is_used = |written: &WrittenVersion| color_name(color_of(written.version)) == service;
         let known: Vec<_> = versions.iter().filter(|written| written.at <= request.ended).collect();
         let Some(position) = known.iter().rposition(|written| is_used(written)) else {
@@ -451,12 +451,12 @@
         if since.is_some_and(|since| request.sent > since + APPLY_BOUND) {
             let written = self.fleet.seconds(newer.at);
             let seen = format!("went to {service}, version {} is there since {written:.3} s", newer.version);
-            self.note(BrokenPromise::OldRoutes, request, &seen);
+            self.note(ViolationKind::OldRoutes, request, &seen);
         }
     }
 
     /// Whether requests of one run, in the order of their ends, went back to older routes.
-    fn check_order(&self, requests: &[&SeenRequest], versions: &[WrittenVersion]) {
+    fn check_order(&self, requests: &[&ObservedRequest], versions: &[WrittenVersion]) {
         // The least version that each request proves for those sent after its end.
         let mut floors: Vec<(Instant, u64)> = Vec::new();
         for request in requests {
@@ -473,7 +473,7 @@
                 }
                 None => {
                     let seen = format!("went to {service}, newest version {newest:?}, after version {before}");
-                    self.note(BrokenPromise::WentBack, request, &seen);
+                    self.note(ViolationKind::WentBack, request, &seen);
                 }
             }
         }
--- a/crates/lab/src/soak_callers.rs
+++ b/crates/lab/src/soak_callers.rs
@@ -12,7 +12,7 @@
 
 use crate::client::LabClient;
 use crate::route_fleet::HOST;
-use crate::soak_audit::{SeenRequest, SoakRoute};
+use crate::soak_audit::{ObservedRequest, SoakRoute};
 use crate::soak_fleet::{SoakFleet, lock};
 
 /// How long after its deadline a caller still listens.
@@ -24,7 +24,7 @@
     /// Set once they stop.
     pub is_over: AtomicBool,
     /// Their requests that ended.
-    pub seen: Mutex<Vec<Arc<SeenRequest>>>,
+    pub seen: Mutex<Vec<Arc<ObservedRequest>>>,
     next: AtomicU64,
 }
 
@@ -50,14 +50,14 @@
         let ended = Instant::now();
         let run = (target.run.load(Ordering::SeqCst) == run).then_some(run);
         let is_success = result.as_ref().is_ok_and(|answer| answer.status.is_success());
-        let seen = SeenRequest { id, route, node, run, sent, ended, deadline, result };
+        let seen = ObservedRequest { id, route, node, run, sent, ended, deadline, result };
         lock(&self.seen).push(Arc::new(seen));
         is_success
     }
 }
 
 /// One caller: it calls one route of one node until it is told to stop.
-pub async fn keep_calling(fleet: Arc<SoakFleet>, log: Arc<CallerLog>, node: usize, route: SoakRoute, seed: u64) {
+pub async fn run_caller(fleet: Arc<SoakFleet>, log: Arc<CallerLog>, node: usize, route: SoakRoute, seed: u64) {
     let mut dice = SmallRng::seed_from_u64(seed);
     let client = LabClient::default();
     while !log.is_over.load(Ordering::Relaxed) {
--- a/crates/lab/src/soak_faults.rs
+++ b/crates/lab/src/soak_faults.rs
@@ -10,9 +10,9 @@
 use streamfold_standin::server::RouteSwitches;
 use tokio::task::JoinSet;
 
-use crate::soak_audit::{BrokenPromise, SpanKind};
+use crate::soak_audit::{DisturbanceKind, ViolationKind};
 use crate::soak_fleet::{SoakFleet, color_of};
-use crate::soak_ways::COMMON_FAULTS;
+use crate::soak_paths::COMMON_FAULTS;
 
 /// How long a node may take to stop as planned: the grace of its settings.
 const GRACE: Duration = Duration::from_secs(6);
@@ -28,7 +28,7 @@
 type SwitchOf = fn(&RouteSwitches) -> &AtomicBool;
 
 /// One series of faults.
-pub struct FaultLane {
+pub struct FaultInjector {
     /// What it disturbs.
     pub fleet: Arc<SoakFleet>,
     /// Its own dice.
@@ -37,7 +37,7 @@
     pub end: Instant,
 }
 
-impl FaultLane {
+impl FaultInjector {
     pub(crate) fn is_over(&self) -> bool {
         Instant::now() >= self.end
     }
@@ -117,7 +117,7 @@
     async fn pause(&mut self, node: usize, from: u64, until: u64) {
         let run = self.fleet.nodes[node].run.load(Ordering::SeqCst);
         self.fleet.note_fault(&format!("STOP node {node}"));
-        let span = self.fleet.disturb(SpanKind::Paused, Some(node));
+        let span = self.fleet.disturb(DisturbanceKind::Paused, Some(node));
         self.fleet.signal(node, run, "STOP").await;
         self.rest(from, until).await;
         self.fleet.signal(node, run, "CONT").await;
@@ -128,11 +128,11 @@
     async fn kill(&mut self, node: usize) {
         let run = self.fleet.nodes[node].run.load(Ordering::SeqCst);
         self.fleet.note_fault(&format!("KILL node {node}"));
-        let span = self.fleet.disturb(SpanKind::Down, Some(node));
+        let span = self.fleet.disturb(DisturbanceKind::Down, Some(node));
         self.fleet.signal(node, run, "KILL").await;
         if self.fleet.wait_end(node, GRACE).await.is_none() {
             self.fleet.note(
-                BrokenPromise::BadStop,
+                ViolationKind::BadStop,
                 &format!("node {node} run {run}"),
                 "not gone when killed".to_owned(),
             );
@@ -145,7 +145,7 @@
     async fn stop(&mut self, node: usize) {
         let run = self.fleet.nodes[node].run.load(Ordering::SeqCst);
         self.fleet.note_fault(&format!("TERM node {node}"));
-        let stopping = self.fleet.disturb(SpanKind::Stopping, Some(node));
+        let stopping = self.fleet.disturb(DisturbanceKind::Stopping, Some(node));
         let begin = Instant::now();
         self.fleet.signal(node, run, "TERM").await;
         for _ in 0..self.dice.random_range(0..3) {
@@ -155,11 +155,11 @@
             self.fleet.signal(node, run, name).await;
         }
         let status = self.fleet.wait_end(node, GRACE.saturating_sub(begin.elapsed())).await;
-        let down = self.fleet.disturb(SpanKind::Down, Some(node));
+        let down = self.fleet.disturb(DisturbanceKind::Down, Some(node));
         self.fleet.spans.end(stopping);
         if !status.is_some_and(|status| status.success()) {
             let seen = format!("{status:?} after {:?}", begin.elapsed());
-            self.fleet.note(BrokenPromise::BadStop, &format!("node {node} run {run}"), seen);
+            self.fleet.note(ViolationKind::BadStop, &format!("node {node} run {run}"), seen);
             self.fleet.signal(node, run, "KILL").await;
             self.fleet.wait_end(node, GRACE).await;
         }
@@ -226,12 +226,12 @@
             }
             let node = self.dice.random_range(0..self.fleet.nodes.len());
             if self.dice.random_bool(0.5) {
-                let span = self.fleet.disturb(SpanKind::Store, Some(node));
+                let span = self.fleet.disturb(DisturbanceKind::Store, Some(node));
                 let faults = self.fleet.nodes[node].store.faults.clone();
                 self.play_ways(&[faults], &format!("between node {node} and the store"), COMMON_FAULTS).await;
                 self.fleet.spans.end(span);
             } else {
-                let span = self.fleet.disturb(SpanKind::Store, None);
+                let span = self.fleet.disturb(DisturbanceKind::Store, None);
                 self.play_platform().await;
                 self.fleet.spans.end(span);
             }
@@ -341,10 +341,10 @@
         match fleet.start_node(node).await {
             Ok(()) => match fleet.wait_ready(node).await {
                 Ok(true) => break,
-                Ok(false) => fleet.note(BrokenPromise::NotBack, &request, "not ready after its start".to_owned()),
-                Err(status) => fleet.note(BrokenPromise::Ended, &request, format!("while it started: {status:?}")),
+                Ok(false) => fleet.note(ViolationKind::NotBack, &request, "not ready after its start".to_owned()),
+                Err(status) => fleet.note(ViolationKind::Ended, &request, format!("while it started: {status:?}")),
             },
-            Err(error) => fleet.note(BrokenPromise::NotBack, &request, error.to_string()),
+            Err(error) => fleet.note(ViolationKind::NotBack, &request, error.to_string()),
         }
     }
     fleet.spans.end(down);
@@ -359,9 +359,9 @@
         for position in 0..fleet.nodes.len() {
             if let Some(status) = fleet.look_unasked_end(position).await {
                 // What it had in flight ended with it; that is one fault, not many.
-                let down = fleet.spans.begin_at(SpanKind::Down, Some(position), before);
+                let down = fleet.spans.begin_at(DisturbanceKind::Down, Some(position), before);
                 let run = fleet.nodes[position].run.load(Ordering::SeqCst);
-                fleet.note(BrokenPromise::Ended, &format!("node {position} run {run}"), format!("{status:?}"));
+                fleet.note(ViolationKind::Ended, &format!("node {position} run {run}"), format!("{status:?}"));
                 start_again(&fleet, position, down).await;
             }
         }
--- a/crates/lab/src/soak_fleet.rs
+++ b/crates/lab/src/soak_fleet.rs
@@ -23,7 +23,7 @@
 use crate::fleet::{find_binary, send_signal};
 use crate::proxy::{self, FaultProxy};
 use crate::route_fleet::{DOMAINS, RouteAddresses, RouteFleetError, WHOLE_CORE, any_port, find_ports, write_settings};
-use crate::soak_audit::{BrokenPromise, SpanKind, SpanLog, Violation, WrittenVersion};
+use crate::soak_audit::{DisturbanceKind, DisturbanceLog, Violation, ViolationKind, WrittenVersion};
 
 /// Services that versions of the document lead to, one after the other.
 pub const COLORS: usize = 6;
@@ -79,7 +79,7 @@
 
 /// An entry that said that its server leaves, or that was removed.
 #[derive(Debug, Clone)]
-pub struct GoneEntry {
+pub struct WithdrawnEntry {
     /// The server's id.
     pub id: String,
     /// Since when.
@@ -99,11 +99,11 @@
     /// Where logs are kept.
     pub folder: PathBuf,
     /// When what was disturbed.
-    pub spans: SpanLog,
+    pub spans: DisturbanceLog,
     /// Faults played.
     pub faults: AtomicU64,
     versions: Mutex<Vec<WrittenVersion>>,
-    gone: Mutex<Vec<GoneEntry>>,
+    gone: Mutex<Vec<WithdrawnEntry>>,
     violations: Mutex<Vec<Violation>>,
     started: Instant,
 }
@@ -168,7 +168,7 @@
             servers: Vec::new(),
             nodes: Vec::new(),
             folder,
-            spans: SpanLog::default(),
+            spans: DisturbanceLog::default(),
             faults: AtomicU64::new(0),
             versions: Mutex::default(),
             gone: Mutex::default(),
@@ -230,11 +230,11 @@
         let id = server.state.id();
         let mut gone = lock(&self.gone);
         if state == "ready" {
-            gone.iter_mut().filter(|gone| gone.id == id && gone.until.is_none()).for_each(GoneEntry::end);
+            gone.iter_mut().filter(|gone| gone.id == id && gone.until.is_none()).for_each(WithdrawnEntry::end);
         }
         self.platform.state.put_object(documents::SERVERS, &id, entry);
         if state != "ready" {
-            gone.push(GoneEntry { id, from: Instant::now(), until: None });
+            gone.push(WithdrawnEntry { id, from: Instant::now(), until: None });
         }
     }
 
@@ -244,7 +244,7 @@
         self.platform.state.remove_object(documents::SERVERS, &id);
         let mut gone = lock(&self.gone);
         if !gone.iter().any(|gone| gone.id == id && gone.until.is_none()) {
-            gone.push(GoneEntry { id, from: Instant::now(), until: None });
+            gone.push(WithdrawnEntry { id, from: Instant::now(), until: None });
         }
     }
 
@@ -259,7 +259,7 @@
     }
 
     /// Entries that were gone so far.
-    pub fn gone(&self) -> Vec<GoneEntry> {
+    pub fn gone(&self) -> Vec<WithdrawnEntry> {
         lock(&self.gone).clone()
     }
 
@@ -279,7 +279,7 @@
     }
 
     /// Notes that a promise was broken, once for each request and promise.
-    pub fn note(&self, promise: BrokenPromise, request: &str, seen: String) {
+    pub fn note(&self, promise: ViolationKind, request: &str, seen: String) {
         let mut violations = lock(&self.violations);
         if !violations.iter().any(|known| known.promise == promise && known.request == request) {
             let violation = Violation { promise, request: request.to_owned(), seen };
@@ -410,12 +410,12 @@
     }
 
     /// Begins a span in which a node or, without one, all of them are disturbed.
-    pub fn disturb(&self, kind: SpanKind, node: Option<usize>) -> usize {
+    pub fn disturb(&self, kind: DisturbanceKind, node: Option<usize>) -> usize {
         self.spans.begin(kind, node)
     }
 }
 
-impl GoneEntry {
+impl WithdrawnEntry {
     fn end(&mut self) {
         self.until = Some(Instant::now());
     }
--- a/crates/lab/src/soak_ways.rs
+++ b/crates/lab/src/soak_paths.rs
@@ -8,8 +8,8 @@
 use rand::Rng;
 
 use crate::proxy::ProxyFaults;
-use crate::soak_audit::SpanKind;
-use crate::soak_faults::FaultLane;
+use crate::soak_audit::DisturbanceKind;
+use crate::soak_faults::FaultInjector;
 
 /// Faults of a way as the log of faults names them. A lane draws from the first few: a new one
 /// goes to the end, so that the plans of kept seeds stay as they are.
@@ -32,18 +32,18 @@
     fn set(&self, fault: &str, is_on: bool, delay_us: u64) {
         match fault {
             "delay" => self.delay_us.store(u64::from(is_on) * delay_us, Ordering::Relaxed),
-            "cut" => self.cut.store(is_on, Ordering::Relaxed),
-            "resets" => self.resets.store(u64::from(is_on) * RESETS, Ordering::Relaxed),
-            "hold_out" => self.pause_out.store(is_on, Ordering::Relaxed),
-            "hold_back" => self.pause_back.store(is_on, Ordering::Relaxed),
-            SILENCE => self.silent.store(is_on, Ordering::Relaxed),
-            "turned away" => self.turn_away.store(is_on, Ordering::Relaxed),
+            "cut" => self.refuse_connections.store(is_on, Ordering::Relaxed),
+            "resets" => self.reset_per_mille.store(u64::from(is_on) * RESETS, Ordering::Relaxed),
+            "hold_out" => self.pause_to_server.store(is_on, Ordering::Relaxed),
+            "hold_back" => self.pause_to_client.store(is_on, Ordering::Relaxed),
+            SILENCE => self.pause_both.store(is_on, Ordering::Relaxed),
+            "turned away" => self.reject_requests.store(is_on, Ordering::Relaxed),
             _ => {}
         }
     }
 }
 
-impl FaultLane {
+impl FaultInjector {
     /// Plays one of the first so many faults on some ways at once.
     pub(crate) async fn play_ways(&mut self, ways: &[Arc<ProxyFaults>], place: &str, faults: usize) {
         let fault = WAY_FAULTS[self.dice.random_range(0..faults)];
@@ -96,12 +96,13 @@
     pub async fn play_store_ways(mut self) {
         while !self.is_over() {
             self.rest(100, 4_000).await;
-            while !self.is_over() && !self.fleet.spans.is_on(SpanKind::Store) {
+            while !self.is_over() && !self.fleet.spans.is_on(DisturbanceKind::Store) {
                 tokio::time::sleep(STORE_LOOK).await;
             }
             let nodes = self.choose_nodes();
             let ways: Vec<_> = nodes.iter().map(|node| self.fleet.nodes[*node].store.faults.clone()).collect();
-            let spans: Vec<_> = nodes.iter().map(|node| self.fleet.disturb(SpanKind::Store, Some(*node))).collect();
+            let spans: Vec<_> =
+                nodes.iter().map(|node| self.fleet.disturb(DisturbanceKind::Store, Some(*node))).collect();
             self.play_ways(&ways, &format!("between nodes {nodes:?} and the store"), WAY_FAULTS.len()).await;
             spans.into_iter().for_each(|span| self.fleet.spans.end(span));
         }
--- a/crates/lab/tests/faults.rs
+++ b/crates/lab/tests/faults.rs
@@ -114,10 +114,10 @@
 async fn crossed_and_cut_answers_are_never_folded() {
     let fleet = Fleet::start(plan()).await.expect("a fleet");
     for server in fleet.all_servers() {
-        server.state.switches.crossed.store(300, Ordering::Relaxed);
+        server.state.switches.crossed_per_mille.store(300, Ordering::Relaxed);
     }
     for proxy in &fleet.proxies {
-        proxy.faults.resets.store(20, Ordering::Relaxed);
+        proxy.faults.reset_per_mille.store(20, Ordering::Relaxed);
     }
     let report = run_load(&fleet, 100.0, 3).await;
     assert_eq!((report.requests, report.broken, report.failed), (300, 0, 0), "{report:?}");
@@ -215,7 +215,7 @@
     let fleet = Fleet::start(plan()).await.expect("a fleet");
     let set_cut = |is_cut: bool| {
         for proxy in fleet.nodes.iter().filter_map(|node| node.proxy.as_ref()) {
-            proxy.faults.cut.store(is_cut, Ordering::Relaxed);
+            proxy.faults.refuse_connections.store(is_cut, Ordering::Relaxed);
             proxy.faults.break_all();
         }
     };
--- a/crates/lab/tests/routes.rs
+++ b/crates/lab/tests/routes.rs
@@ -5,7 +5,9 @@
 use bytes::Bytes;
 use http::{Method, StatusCode};
 use serde_json::json;
-use streamfold_lab::route_checks::{check_own, get, header, near, start_single, tell_refusal, to_service};
+use streamfold_lab::route_checks::{
+    check_answer, format_refusal, get, header, local_server, service_target, start_single,
+};
 use streamfold_lab::route_fleet::{HOST, RouteFleet, RouteFleetPlan, write_route};
 use streamfold_lab::wait::WAIT_AT_MOST;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -13,9 +15,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn unknown_paths_get_404_and_the_longest_prefix_wins() {
-    let servers = vec![near("i-0", "wide"), near("i-1", "deep")];
-    let routes =
-        vec![write_route("wide", "/a/", &to_service("wide")), write_route("deep", "/a/b/", &to_service("deep"))];
+    let servers = vec![local_server("i-0", "wide"), local_server("i-1", "deep")];
+    let routes = vec![
+        write_route("wide", "/a/", &service_target("wide")),
+        write_route("deep", "/a/b/", &service_target("deep")),
+    ];
     let fleet = RouteFleet::start(RouteFleetPlan { nodes: [1, 0], servers, routes, ..RouteFleetPlan::default() })
         .await
         .expect("a fleet");
@@ -23,7 +27,7 @@
     for (number, path) in ["/a/x", "/a/b/x", "/a/b", "/a/bc/x", "/a/b/", "/c/x", "/", "/a"].into_iter().enumerate() {
         let id = format!("r-{number}");
         let answer = get(&fleet, path, &id).await;
-        let service = header(&answer, "x-server-stamp").and_then(|proof| fleet.find_proof(&id, proof));
+        let service = header(&answer, "x-server-stamp").and_then(|proof| fleet.find_service_by_proof(&id, proof));
         seen.push(format!("{path}: {} {service:?}", answer.status.as_u16()));
     }
     let headers = [("host", "other.example"), ("x-request-id", "r-host")];
@@ -37,17 +41,17 @@
 async fn before_the_first_configuration_requests_do_not_run() {
     let plan = RouteFleetPlan {
         nodes: [1, 0],
-        servers: vec![near("i-0", "cart")],
+        servers: vec![local_server("i-0", "cart")],
         routes: Vec::new(),
         ..RouteFleetPlan::default()
     };
     let mut fleet = RouteFleet::start(plan).await.expect("a fleet");
     let refused = get(&fleet, "/any/x", "r-0").await;
-    insta::assert_snapshot!(tell_refusal(&refused));
+    insta::assert_snapshot!(format_refusal(&refused));
     assert_eq!(fleet.count_calls("r-0"), 0);
-    fleet.put_document(3, &[write_route("any", "/any/", &to_service("cart"))]);
+    fleet.put_document(3, &[write_route("any", "/any/", &service_target("cart"))]);
     fleet.wait_ready(StatusCode::OK).await.expect("a ready node");
-    check_own(&fleet, &get(&fleet, "/any/x", "r-1").await, "r-1");
+    check_answer(&fleet, &get(&fleet, "/any/x", "r-1").await, "r-1");
 }
 
 /// The headers of a request as a server saw it, without those that say how it came.
@@ -101,7 +105,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_split_reaches_its_services_by_weight() {
-    let servers = vec![near("i-0", "old"), near("i-1", "new"), near("i-2", "none")];
+    let servers = vec![local_server("i-0", "old"), local_server("i-1", "new"), local_server("i-2", "none")];
     let split = json!({ "split": [
         { "service": "old", "weight": 3 }, { "service": "new", "weight": 1.0 }, { "service": "none", "weight": 0 }
     ] });
@@ -111,7 +115,7 @@
         .expect("a fleet");
     for number in 0..400 {
         let id = format!("r-{number}");
-        check_own(&fleet, &get(&fleet, "/any/x", &id).await, &id);
+        check_answer(&fleet, &get(&fleet, "/any/x", &id).await, &id);
     }
     let runs: Vec<usize> = fleet.servers.iter().map(|server| server.state.runs().len()).collect();
     assert_eq!((runs[0] + runs[1], runs[2]), (400, 0));
@@ -121,7 +125,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_part_of_a_split_without_room_refuses_its_share_and_moves_none() {
-    let servers = vec![near("i-0", "old"), near("i-1", "new")];
+    let servers = vec![local_server("i-0", "old"), local_server("i-1", "new")];
     let split = json!({ "split": [{ "service": "old", "weight": 1 }, { "service": "new", "weight": 1 }] });
     let routes = vec![write_route("split", "/any/", &split)];
     let fleet = RouteFleet::start(RouteFleetPlan { nodes: [1, 0], servers, routes, ..RouteFleetPlan::default() })
--- a/crates/lab/tests/routes_alone.rs
+++ b/crates/lab/tests/routes_alone.rs
@@ -134,7 +134,7 @@
         ..RouteFleetPlan::default()
     };
     let mut fleet = RouteFleet::start(plan).await.expect("a fleet");
-    fleet.nodes[0].stop_reading();
+    fleet.nodes[0].stop_reading_log();
     let long_path = format!("/none/{}", "x".repeat(4_000));
     let metrics = fleet.nodes[0].addresses.metrics;
     let client = fleet.client.clone();
--- a/crates/lab/tests/routes_cold.rs
+++ b/crates/lab/tests/routes_cold.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use http::Method;
-use streamfold_lab::route_checks::{check_own, far, near, to_service};
+use streamfold_lab::route_checks::{check_answer, local_server, remote_server, service_target};
 use streamfold_lab::route_fleet::{RouteFleet, RouteFleetPlan, write_route};
 use streamfold_lab::wait::wait_for;
 use streamfold_standin::documents::{COLD_ALLOWANCE, COLD_EXCESS, COLD_RATE};
@@ -18,8 +18,8 @@
 const CALLERS: usize = 6;
 
 async fn start() -> RouteFleet {
-    let servers = vec![near("i-0", "cold-cart"), far("i-1", "cold-cart")];
-    let routes = vec![write_route("any", "/any/", &to_service("cold-cart"))];
+    let servers = vec![local_server("i-0", "cold-cart"), remote_server("i-1", "cold-cart")];
+    let routes = vec![write_route("any", "/any/", &service_target("cold-cart"))];
     RouteFleet::start(RouteFleetPlan { nodes: [CALLERS, 0], servers, routes, ..RouteFleetPlan::default() })
         .await
         .expect("a fleet")
@@ -36,7 +36,7 @@
             number += 1;
             let id = format!("{name}-{number}");
             let answer = fleet.call(node, Method::GET, "/any/x", &id, Bytes::new()).await.expect("an answer");
-            check_own(fleet, &answer, &id);
+            check_answer(fleet, &answer, &id);
         }
         cold.calls().len() >= before + wanted
     })
--- a/crates/lab/tests/routes_crashing.rs
+++ b/crates/lab/tests/routes_crashing.rs
@@ -12,7 +12,9 @@
 use http::Method;
 use serde_json::json;
 use streamfold_lab::client::CallAnswer;
-use streamfold_lab::route_checks::{check_own, far, header, near, once_to, to_service};
+use streamfold_lab::route_checks::{
+    check_answer, header, local_server, non_idempotent_target, remote_server, service_target,
+};
 use streamfold_lab::route_fleet::{RouteFleet, RouteFleetPlan, write_route};
 use streamfold_lab::wait::wait_for;
 use streamfold_standin::server::CRASH_MARK;
@@ -32,15 +34,15 @@
 /// A fleet whose servers end a few milliseconds after they began to run a request with the mark, and are
 /// back shortly after.
 async fn start() -> RouteFleet {
-    let mut servers = vec![near("i-0", "cart"), far("i-1", "cart")];
+    let mut servers = vec![local_server("i-0", "cart"), remote_server("i-1", "cart")];
     for shard in SHARDS {
-        servers.extend([near(&format!("{shard}-n"), shard), far(&format!("{shard}-f"), shard)]);
+        servers.extend([local_server(&format!("{shard}-n"), shard), remote_server(&format!("{shard}-f"), shard)]);
     }
     let all = json!({ "gather": SHARDS, "topK": 7, "minCoverage": 0.5, "maxAttempts": 2, "timeoutMs": 2_500,
         "targetLatencyMs": 600 });
     let routes = vec![
-        write_route("any", "/any/", &to_service("cart")),
-        write_route("once", "/once/", &once_to("cart")),
+        write_route("any", "/any/", &service_target("cart")),
+        write_route("once", "/once/", &non_idempotent_target("cart")),
         write_route("all", "/all/", &all),
     ];
     let plan = RouteFleetPlan { nodes: NODES, servers, routes, ..RouteFleetPlan::default() };
@@ -117,7 +119,7 @@
     assert!(after <= MOST_AFTER, "it reached servers {after} times more");
     for node in 0..nodes {
         let id = format!("other-{node}");
-        check_own(fleet, &call(fleet, node, "/any/harmless", &id).await, &id);
+        check_answer(fleet, &call(fleet, node, "/any/harmless", &id).await, &id);
     }
 }
 
--- a/crates/lab/tests/routes_deadly.rs
+++ b/crates/lab/tests/routes_deadly.rs
@@ -14,7 +14,7 @@
 use http::Method;
 use serde_json::json;
 use streamfold_lab::client::CallAnswer;
-use streamfold_lab::route_checks::{far, near};
+use streamfold_lab::route_checks::{local_server, remote_server};
 use streamfold_lab::route_fleet::{RouteFleet, RouteFleetPlan, write_route};
 use streamfold_lab::wait::wait_for;
 use streamfold_standin::server::CRASH_MARK;
@@ -31,8 +31,9 @@
 
 async fn start() -> RouteFleet {
     let shards: Vec<String> = (0..SHARDS).map(|number| format!("s-{number}")).collect();
-    let servers =
-        shards.iter().flat_map(|shard| [near(&format!("{shard}-n"), shard), far(&format!("{shard}-f"), shard)]);
+    let servers = shards
+        .iter()
+        .flat_map(|shard| [local_server(&format!("{shard}-n"), shard), remote_server(&format!("{shard}-f"), shard)]);
     let all = json!({ "gather": shards, "topK": 7, "minCoverage": 0.5, "maxAttempts": 2, "timeoutMs": 2_500,
         "targetLatencyMs": 600 });
     let plan = RouteFleetPlan {
--- a/crates/lab/tests/routes_entry.rs
+++ b/crates/lab/tests/routes_entry.rs
@@ -6,7 +6,7 @@
 use http::StatusCode;
 use serde_json::json;
 use streamfold_lab::client::CallAnswer;
-use streamfold_lab::route_checks::{get, near, tell_refusal};
+use streamfold_lab::route_checks::{format_refusal, get, local_server};
 use streamfold_lab::route_fleet::{RouteFleet, RouteFleetPlan, write_route};
 use streamfold_lab::wait::wait_for;
 
@@ -24,7 +24,7 @@
     };
     let routes =
         vec![write_route("all", "/all/", &target(1.0, 1)), write_route("some", "/some/", &target(0.5, urgent))];
-    let servers = vec![near("i-0", "s-0"), near("i-1", "s-1")];
+    let servers = vec![local_server("i-0", "s-0"), local_server("i-1", "s-1")];
     RouteFleet::start(RouteFleetPlan { nodes: [1, 0], servers, routes, settings, ..RouteFleetPlan::default() })
         .await
         .expect("a fleet")
@@ -56,7 +56,7 @@
     assert_eq!(get(&fleet, "/all/x", "before").await.status, 200);
     silence(&fleet, SILENCE_MS);
     let (id, answer) = find_refused(&fleet).await;
-    assert_eq!(tell_refusal(&answer), "503 {\"error\":\"not_run\"} retry-after: Some(true)");
+    assert_eq!(format_refusal(&answer), "503 {\"error\":\"not_run\"} retry-after: Some(true)");
     assert_eq!(fleet.count_calls(&id), 0);
     let line = format!("request={id} ");
     wait_for("its line", async || {
--- a/crates/lab/tests/routes_evacuations.rs
+++ b/crates/lab/tests/routes_evacuations.rs
@@ -6,7 +6,7 @@
 use http::{Method, StatusCode};
 use serde_json::json;
 use streamfold_lab::client::CallAnswer;
-use streamfold_lab::route_checks::{check_own, far, header, near, to_service};
+use streamfold_lab::route_checks::{check_answer, header, local_server, remote_server, service_target};
 use streamfold_lab::route_fleet::{DOMAINS, RouteFleet, RouteFleetPlan, write_route};
 use streamfold_lab::wait::wait_for;
 
@@ -14,15 +14,15 @@
 const SHARDS: [&str; 4] = ["s-0", "s-1", "s-2", "lone"];
 
 async fn start(nodes: [usize; 2]) -> RouteFleet {
-    let mut servers = vec![near("i-0", "cart"), far("i-1", "cart"), far("lone-f", "lone")];
+    let mut servers = vec![local_server("i-0", "cart"), remote_server("i-1", "cart"), remote_server("lone-f", "lone")];
     for shard in &SHARDS[..3] {
-        servers.extend([near(&format!("{shard}-n"), shard), far(&format!("{shard}-f"), shard)]);
+        servers.extend([local_server(&format!("{shard}-n"), shard), remote_server(&format!("{shard}-f"), shard)]);
     }
     let all = json!({ "gather": SHARDS, "topK": 7, "minCoverage": 0.5, "maxAttempts": 2, "timeoutMs": 2_500,
         "targetLatencyMs": 600 });
     let routes = vec![
-        write_route("any", "/any/", &to_service("cart")),
-        write_route("lone", "/lone/", &to_service("lone")),
+        write_route("any", "/any/", &service_target("cart")),
+        write_route("lone", "/lone/", &service_target("lone")),
         write_route("all", "/all/", &all),
     ];
     let plan = RouteFleetPlan { nodes, servers, routes, ..RouteFleetPlan::default() };
@@ -45,11 +45,11 @@
 /// Calls every route through some nodes while the second failure domain is evacuated: its servers read
 /// nothing, and the shard that has no other is told as missing.
 async fn check_evacuated(fleet: &RouteFleet, nodes: &[usize], name: &str) {
-    let before = fleet.count_calls_in(1);
+    let before = fleet.count_domain_calls(1);
     for node in nodes {
         for number in 0..10 {
             let id = format!("{name}-{node}-{number}");
-            check_own(fleet, &call(fleet, *node, "/any/x", &format!("any-{id}")).await, &format!("any-{id}"));
+            check_answer(fleet, &call(fleet, *node, "/any/x", &format!("any-{id}")).await, &format!("any-{id}"));
             let answer = call(fleet, *node, "/all/x", &format!("all-{id}")).await;
             assert_eq!((answer.status.as_u16(), header(&answer, "x-missing-parts")), (200, Some("1")), "{answer:?}");
         }
@@ -57,7 +57,7 @@
         assert_eq!(refused.status, 503, "{refused:?}");
         assert!(header(&refused, "retry-after").is_some());
     }
-    assert_eq!(fleet.count_calls_in(1), before, "{name}: the evacuated servers");
+    assert_eq!(fleet.count_domain_calls(1), before, "{name}: the evacuated servers");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -76,7 +76,7 @@
         for node in &nodes {
             wait_in_force(&fleet, *node, "none").await;
             let id = format!("back-{round}-{node}");
-            check_own(&fleet, &call(&fleet, *node, "/lone/x", &id).await, &id);
+            check_answer(&fleet, &call(&fleet, *node, "/lone/x", &id).await, &id);
         }
     }
 }
@@ -89,14 +89,14 @@
     for server in fleet.servers.iter().filter(|server| server.state.plan.domain == DOMAINS[0]) {
         server.state.switches.pause_ms.store(1_500, Ordering::Relaxed);
     }
-    check_own(&fleet, &call(&fleet, 0, "/any/x", "r-paused").await, "r-paused");
+    check_answer(&fleet, &call(&fleet, 0, "/any/x", "r-paused").await, "r-paused");
     call(&fleet, 0, "/all/x", "r-all-paused").await;
     for server in fleet.servers.iter().filter(|server| server.state.plan.domain == DOMAINS[0]) {
         server.state.switches.pause_ms.store(0, Ordering::Relaxed);
         server.state.switches.refuse.store(true, Ordering::Relaxed);
     }
     assert_eq!(call(&fleet, 0, "/any/x", "r-refused").await.status, 503);
-    assert_eq!(fleet.count_calls_in(1), 0);
+    assert_eq!(fleet.count_domain_calls(1), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -109,7 +109,7 @@
         fleet.evacuate(1, true);
         wait_in_force(&fleet, 0, DOMAINS[1]).await;
     });
-    check_own(&fleet, &answer, "r-long");
+    check_answer(&fleet, &answer, "r-long");
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/lab/tests/routes_herd.rs
+++ b/crates/lab/tests/routes_herd.rs
@@ -7,7 +7,7 @@
 
 use http::StatusCode;
 use serde_json::json;
-use streamfold_lab::route_checks::{check_own, get, near};
+use streamfold_lab::route_checks::{check_answer, get, local_server};
 use streamfold_lab::route_fleet::{RouteFleet, RouteFleetPlan, write_route};
 
 /// Nodes of each failure domain; together more than one answer of the store holds.
@@ -20,7 +20,7 @@
 const SLOW_MS: u64 = 300;
 
 async fn restart() -> RouteFleet {
-    let servers = (0..SERVERS).map(|number| near(&format!("i-{number}"), "cart")).collect();
+    let servers = (0..SERVERS).map(|number| local_server(&format!("i-{number}"), "cart")).collect();
     let routes = vec![write_route("cart", "/any/", &json!({ "service": "cart" }))];
     let plan = RouteFleetPlan { nodes: NODES, servers, routes, ..RouteFleetPlan::default() };
     let mut fleet = RouteFleet::start(plan).await.expect("a fleet");
@@ -42,5 +42,5 @@
     assert!(listed_nodes <= SEEDS, "{listed_nodes} nodes asked the store for all nodes");
     let listed_servers = count_nodes(&fleet, &["event=listed", "topic=servers", "source=store"]);
     assert!(listed_servers <= NODES.len(), "{listed_servers} nodes asked the store for all servers");
-    check_own(&fleet, &get(&fleet, "/any/x", "r-after").await, "r-after");
+    check_answer(&fleet, &get(&fleet, "/any/x", "r-after").await, "r-after");
 }
--- a/crates/lab/tests/routes_homes.rs
+++ b/crates/lab/tests/routes_homes.rs
@@ -6,7 +6,9 @@
 use http::Method;
 use serde_json::{Value, json};
 use streamfold_lab::fleet::{pause_process, send_signal};
-use streamfold_lab::route_checks::{check_own, far, get, header, near, tell_refusal, wait_delegated};
+use streamfold_lab::route_checks::{
+    check_answer, format_refusal, get, header, local_server, remote_server, wait_delegated,
+};
 use streamfold_lab::route_fleet::{DOMAINS, REGIONS, RouteFleet, RouteFleetPlan, write_route};
 use streamfold_lab::wait::wait_for;
 
@@ -18,9 +20,9 @@
 /// A service and shards with servers in both failure domains, and a node in each. Every route is bound
 /// to one region.
 async fn start_bound(region: &str) -> RouteFleet {
-    let mut servers = vec![near("i-0", "cart"), far("i-1", "cart")];
+    let mut servers = vec![local_server("i-0", "cart"), remote_server("i-1", "cart")];
     for shard in SHARDS {
-        servers.extend([near(&format!("{shard}-n"), shard), far(&format!("{shard}-f"), shard)]);
+        servers.extend([local_server(&format!("{shard}-n"), shard), remote_server(&format!("{shard}-f"), shard)]);
     }
     let plan = RouteFleetPlan { nodes: [1, 1], servers, routes: write_routes(&[region]), ..RouteFleetPlan::default() };
     RouteFleet::start(plan).await.expect("a fleet")
@@ -44,7 +46,7 @@
         for number in 0..20 {
             for node in 0..2 {
                 let id = format!("any-{node}-{number}");
-                check_own(&fleet, &call(&fleet, node, "/any/x", &id).await, &id);
+                check_answer(&fleet, &call(&fleet, node, "/any/x", &id).await, &id);
                 let answer = call(&fleet, node, "/all/x", &format!("all-{node}-{number}")).await;
                 assert_eq!(
                     (answer.status.as_u16(), header(&answer, "x-missing-parts")),
@@ -53,7 +55,7 @@
                 );
             }
         }
-        assert_eq!(fleet.count_calls_in(outside), 0, "bound to {region}");
+        assert_eq!(fleet.count_domain_calls(outside), 0, "bound to {region}");
     }
 }
 
@@ -83,7 +85,7 @@
     for node in 0..2 {
         assert_ne!(call(&fleet, node, "/all/x", &format!("all-paused-{node}")).await.status, 200);
     }
-    assert_eq!(fleet.count_calls_in(1), 0);
+    assert_eq!(fleet.count_domain_calls(1), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -96,7 +98,7 @@
         wait_for("the takeover", async || !fleet.nodes[0].logged(&event).is_empty()).await;
     });
     send_signal(&fleet.nodes[1].process, "CONT").await;
-    assert_eq!(fleet.count_calls_in(0), 0);
+    assert_eq!(fleet.count_domain_calls(0), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -104,10 +106,10 @@
     let fleet = start_bound("west").await;
     let mut seen = Vec::new();
     for path in ["/any/x", "/all/x"] {
-        seen.push(format!("{path}: {}", tell_refusal(&get(&fleet, path, "r-0").await)));
+        seen.push(format!("{path}: {}", format_refusal(&get(&fleet, path, "r-0").await)));
     }
     insta::assert_snapshot!(seen.join("\n"));
-    assert_eq!(fleet.count_calls_in(0) + fleet.count_calls_in(1), 0);
+    assert_eq!(fleet.count_domain_calls(0) + fleet.count_domain_calls(1), 0);
     for event in ["event=service_unreachable", "event=coverage_unreachable"] {
         let line = [event, "request=r-0", "barred=outside_homes:2"];
         wait_for("the line that says why", async || !fleet.nodes[0].logged(&line).is_empty()).await;
@@ -117,18 +119,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_of_homes_is_in_force_for_every_request_after_it() {
     let fleet = start_bound(NORTH).await;
-    check_own(&fleet, &get(&fleet, "/any/x", "r-before").await, "r-before");
+    check_answer(&fleet, &get(&fleet, "/any/x", "r-before").await, "r-before");
     fleet.put_document(2, &write_routes(&[SOUTH]));
     for node in &fleet.nodes {
         wait_for("the newer routes", async || !node.logged(&["event=routes_in_force", "version=2"]).is_empty()).await;
     }
-    let before = fleet.count_calls_in(0);
+    let before = fleet.count_domain_calls(0);
     for number in 0..20 {
         for node in 0..2 {
             let id = format!("any-{node}-{number}");
-            check_own(&fleet, &call(&fleet, node, "/any/x", &id).await, &id);
+            check_answer(&fleet, &call(&fleet, node, "/any/x", &id).await, &id);
             assert_eq!(call(&fleet, node, "/all/x", &format!("all-{node}-{number}")).await.status, 200);
         }
     }
-    assert_eq!(fleet.count_calls_in(0), before, "the former homes get nothing more");
+    assert_eq!(fleet.count_domain_calls(0), before, "the former homes get nothing more");
 }
--- a/crates/lab/tests/routes_lines.rs
+++ b/crates/lab/tests/routes_lines.rs
@@ -10,7 +10,7 @@
 use http::Method;
 use serde_json::{Value, json};
 use streamfold_lab::fleet::send_signal;
-use streamfold_lab::route_checks::{get, near, read_metric};
+use streamfold_lab::route_checks::{get, local_server, read_metric};
 use streamfold_lab::route_fleet::{HOST, RouteFleet, RouteFleetPlan, write_route};
 use streamfold_lab::wait::wait_for;
 use streamfold_standin::names;
@@ -55,7 +55,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lookup_goes_before_listings_that_came_first() {
-    let fleet = start(vec![near("i-0", "cart")], "").await;
+    let fleet = start(vec![local_server("i-0", "cart")], "").await;
     set_work(&fleet, WORK_MS);
     let ids: Vec<String> = (0..3 * ROOM).map(|number| format!("r-listing-{number}")).collect();
     let listings = join_all(ids.iter().map(|id| get(&fleet, "/listing/x", id)));
@@ -76,7 +76,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn without_lines_calls_go_out_at_once() {
-    let fleet = start(vec![near("i-0", "cart")], "without: [call_lines]\n").await;
+    let fleet = start(vec![local_server("i-0", "cart")], "without: [call_lines]\n").await;
     set_work(&fleet, WORK_MS);
     let ids: Vec<String> = (0..3 * ROOM).map(|number| format!("r-listing-{number}")).collect();
     let answers = join_all(ids.iter().map(|id| get(&fleet, "/listing/x", id))).await;
@@ -86,7 +86,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_whose_time_is_over_is_never_sent() {
-    let fleet = start(vec![near("i-0", "cart")], "").await;
+    let fleet = start(vec![local_server("i-0", "cart")], "").await;
     set_work(&fleet, WORK_MS);
     let ids: Vec<String> = (0..2 * ROOM).map(|number| format!("r-listing-{number}")).collect();
     let listings = join_all(ids.iter().map(|id| get(&fleet, "/listing/x", id)));
@@ -110,7 +110,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_closes_its_connection_takes_its_waiting_call_along() {
-    let fleet = start(vec![near("i-0", "cart")], "").await;
+    let fleet = start(vec![local_server("i-0", "cart")], "").await;
     set_work(&fleet, LONG_WORK_MS);
     let ids: Vec<String> = (0..ROOM).map(|number| format!("r-listing-{number}")).collect();
     let listings = join_all(ids.iter().map(|id| get(&fleet, "/listing/x", id)));
@@ -134,7 +134,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_that_wait_for_a_server_that_dies_go_to_another() {
-    let fleet = start(vec![near("i-0", "cart"), near("i-1", "cart")], "").await;
+    let fleet = start(vec![local_server("i-0", "cart"), local_server("i-1", "cart")], "").await;
     set_work(&fleet, WORK_MS);
     let ids: Vec<String> = (0..4 * ROOM).map(|number| format!("r-listing-{number}")).collect();
     let listings = join_all(ids.iter().map(|id| get(&fleet, "/listing/x", id)));
@@ -155,7 +155,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn work_that_waits_at_an_owner_that_is_killed_is_taken_back() {
     let shards: Vec<String> = (0..SHARDS).map(|shard| format!("s-{shard}")).collect();
-    let servers = shards.iter().map(|shard| near(&format!("i-{shard}"), shard)).collect();
+    let servers = shards.iter().map(|shard| local_server(&format!("i-{shard}"), shard)).collect();
     let gather = |priority: u32| json!({ "gather": shards, "topK": 7, "minCoverage": 1.0, "priority": priority, "targetLatencyMs": 4_000 });
     let routes = vec![write_route("all", "/all/", &gather(0)), write_route("list", "/list/", &gather(2))];
     let cpu_shares = HashMap::from([("zone-a-0", 0.1)]);
--- a/crates/lab/tests/routes_news.rs
+++ b/crates/lab/tests/routes_news.rs
@@ -5,14 +5,14 @@
 use bytes::Bytes;
 use http::Method;
 use serde_json::json;
-use streamfold_lab::route_checks::{check_own, get, header, near, start_pair, start_single, to_service};
+use streamfold_lab::route_checks::{check_answer, get, header, local_server, service_target, start_pair, start_single};
 use streamfold_lab::route_fleet::{HOST, RouteFleet, RouteFleetPlan, write_route};
 use streamfold_lab::wait::{WAIT_AT_MOST, wait_for};
 
 #[tokio::test(flavor = "multi_thread")]
 async fn newer_routes_are_taken_and_older_ones_never() {
-    let servers = vec![near("i-0", "old"), near("i-1", "new")];
-    let route = |service: &str| vec![write_route("any", "/any/", &to_service(service))];
+    let servers = vec![local_server("i-0", "old"), local_server("i-1", "new")];
+    let route = |service: &str| vec![write_route("any", "/any/", &service_target(service))];
     let plan = RouteFleetPlan { nodes: [2, 1], servers, routes: route("old"), ..RouteFleetPlan::default() };
     let fleet = RouteFleet::start(plan).await.expect("a fleet");
     fleet.put_document(12, &route("new"));
@@ -22,8 +22,8 @@
             number += 1;
             let id = format!("r-{number}");
             let answer = fleet.call(node, Method::GET, "/any/x", &id, Bytes::new()).await.expect("an answer");
-            check_own(&fleet, &answer, &id);
-            fleet.find_proof(&id, header(&answer, "x-server-stamp").expect("a proof")) == Some("new")
+            check_answer(&fleet, &answer, &id);
+            fleet.find_service_by_proof(&id, header(&answer, "x-server-stamp").expect("a proof")) == Some("new")
         })
         .await;
     }
@@ -38,7 +38,7 @@
         let id = format!("later-{number}");
         let answer =
             fleet.call(number % fleet.nodes.len(), Method::GET, "/any/x", &id, Bytes::new()).await.expect("an answer");
-        check_own(&fleet, &answer, &id);
+        check_answer(&fleet, &answer, &id);
     }
     assert_eq!(fleet.servers[0].state.calls().len(), before, "nothing goes by the older routes");
 }
@@ -63,10 +63,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_forgotten_history_and_a_cut_watch_hide_no_change() {
     let fleet = start_single().await;
-    let mut routes = vec![write_route("any", "/any/", &to_service("cart"))];
+    let mut routes = vec![write_route("any", "/any/", &service_target("cart"))];
     for round in 0..3 {
         // The change lies in the forgotten part, or in the time of the outage.
-        routes.push(write_route(&format!("more-{round}"), &format!("/more-{round}/"), &to_service("cart")));
+        routes.push(write_route(&format!("more-{round}"), &format!("/more-{round}/"), &service_target("cart")));
         fleet.put_document(10 + round, &routes);
         fleet.platform.state.forget_history();
         wait_for_route(&fleet, &format!("/more-{round}/x")).await;
@@ -75,16 +75,16 @@
     for round in 3..6 {
         outage.store(true, Ordering::Relaxed);
         // Wakes the waiting watches, which are cut then.
-        routes.push(write_route(&format!("more-{round}"), &format!("/more-{round}/"), &to_service("cart")));
+        routes.push(write_route(&format!("more-{round}"), &format!("/more-{round}/"), &service_target("cart")));
         fleet.put_document(10 + round, &routes);
         if round % 2 == 0 {
             fleet.platform.state.forget_history();
         }
-        check_own(&fleet, &get(&fleet, "/any/x", &format!("out-{round}")).await, &format!("out-{round}"));
+        check_answer(&fleet, &get(&fleet, "/any/x", &format!("out-{round}")).await, &format!("out-{round}"));
         outage.store(false, Ordering::Relaxed);
         wait_for_route(&fleet, &format!("/more-{round}/x")).await;
     }
-    check_own(&fleet, &get(&fleet, "/any/x", "r-end").await, "r-end");
+    check_answer(&fleet, &get(&fleet, "/any/x", "r-end").await, "r-end");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -103,7 +103,7 @@
     let before = fleet.servers[0].state.calls().len();
     for number in 0..20 {
         let id = format!("r-{number}");
-        check_own(&fleet, &get(&fleet, "/any/x", &id).await, &id);
+        check_answer(&fleet, &get(&fleet, "/any/x", &id).await, &id);
     }
     assert_eq!(fleet.servers[0].state.calls().len(), before);
 }
@@ -126,10 +126,10 @@
     for number in 0..30 {
         let id = format!("r-{number}");
         let path = if number % 2 == 0 { "/any/x" } else { "/once/x" };
-        check_own(&fleet, &get(&fleet, path, &id).await, &id);
+        check_answer(&fleet, &get(&fleet, path, &id).await, &id);
     }
     assert_eq!(fleet.servers[0].state.calls().len(), 1, "only the request in flight");
-    check_own(&fleet, &in_flight.await.expect("a caller").expect("an answer"), "r-long");
+    check_answer(&fleet, &in_flight.await.expect("a caller").expect("an answer"), "r-long");
     fleet.unregister(0);
     fleet.unregister(1);
     wait_for("no server", async || {
@@ -148,7 +148,7 @@
     let before = fleet.servers[0].state.calls().len();
     for number in 0..20 {
         let id = format!("r-{number}");
-        check_own(&fleet, &get(&fleet, "/any/x", &id).await, &id);
+        check_answer(&fleet, &get(&fleet, "/any/x", &id).await, &id);
     }
     assert_eq!(fleet.servers[0].state.calls().len(), before);
     let fleet = start_single().await;
@@ -156,7 +156,7 @@
     wait_for("the entry gone", async || {
         let is_gone = !fleet.nodes[0].logged(&["event=server_doubtful"]).is_empty();
         if !is_gone {
-            check_own(&fleet, &get(&fleet, "/any/x", "r-alone").await, "r-alone");
+            check_answer(&fleet, &get(&fleet, "/any/x", "r-alone").await, "r-alone");
         }
         is_gone
     })
--- a/crates/lab/tests/routes_owners.rs
+++ b/crates/lab/tests/routes_owners.rs
@@ -5,7 +5,7 @@
 
 use serde_json::json;
 use streamfold_lab::fleet::send_signal;
-use streamfold_lab::route_checks::{get, header, near};
+use streamfold_lab::route_checks::{get, header, local_server};
 use streamfold_lab::route_fleet::{RouteFleet, RouteFleetPlan, write_route};
 use streamfold_lab::wait::wait_for;
 
@@ -17,7 +17,7 @@
 
 async fn start_unequal<const N: usize>(cpu_shares: [(&'static str, f64); N], target_ms: u32) -> RouteFleet {
     let shards: Vec<String> = (0..SHARDS).map(|shard| format!("s-{shard}")).collect();
-    let servers = shards.iter().map(|shard| near(&format!("i-{shard}"), shard)).collect();
+    let servers = shards.iter().map(|shard| local_server(&format!("i-{shard}"), shard)).collect();
     let gather = json!({ "gather": shards, "topK": 7, "minCoverage": 0.5, "timeoutMs": 8_000,
         "targetLatencyMs": target_ms });
     let routes = vec![write_route("all", "/all/", &gather)];
--- a/crates/lab/tests/routes_pauses.rs
+++ b/crates/lab/tests/routes_pauses.rs
@@ -4,7 +4,7 @@
 
 use serde_json::json;
 use streamfold_lab::fleet::{pause_process, send_signal};
-use streamfold_lab::route_checks::{far, get, wait_delegated};
+use streamfold_lab::route_checks::{get, remote_server, wait_delegated};
 use streamfold_lab::route_fleet::{RouteFleet, RouteFleetPlan, write_route};
 use streamfold_lab::wait::wait_for;
 use streamfold_standin::server::RouteServer;
@@ -20,8 +20,9 @@
 
 /// Two nodes, of which the second is asked for all shards by the first; their servers read requests and do not answer.
 async fn start_silent(shards: &[&'static str], silent: SilentPlan, settings: &'static str) -> RouteFleet {
-    let servers =
-        shards.iter().flat_map(|shard| (0..silent.servers).map(move |number| far(&format!("{shard}-{number}"), shard)));
+    let servers = shards
+        .iter()
+        .flat_map(|shard| (0..silent.servers).map(move |number| remote_server(&format!("{shard}-{number}"), shard)));
     let gather = json!({ "gather": shards, "topK": 7, "minCoverage": 0.5, "maxAttempts": 2,
         "timeoutMs": silent.timeout_ms, "targetLatencyMs": silent.target_ms });
     let routes = vec![write_route("all", "/all/", &gather)];
--- a/crates/lab/tests/routes_reborn.rs
+++ b/crates/lab/tests/routes_reborn.rs
@@ -4,15 +4,15 @@
 use std::sync::atomic::Ordering;
 
 use serde_json::{Value, json};
-use streamfold_lab::route_checks::{check_own, get, near, to_service};
+use streamfold_lab::route_checks::{check_answer, get, local_server, service_target};
 use streamfold_lab::route_fleet::{RouteFleet, RouteFleetPlan, write_route};
 use streamfold_lab::wait::wait_for;
 use streamfold_standin::documents::SERVERS;
 use streamfold_standin::server::FIRST_BORN;
 
 async fn start(servers: usize) -> RouteFleet {
-    let servers = (0..servers).map(|number| near(&format!("i-{number}"), "cart")).collect();
-    let routes = vec![write_route("any", "/any/", &to_service("cart"))];
+    let servers = (0..servers).map(|number| local_server(&format!("i-{number}"), "cart")).collect();
+    let routes = vec![write_route("any", "/any/", &service_target("cart"))];
     let plan = RouteFleetPlan { nodes: [1, 0], servers, routes, ..RouteFleetPlan::default() };
     RouteFleet::start(plan).await.expect("a fleet")
 }
@@ -25,7 +25,7 @@
         let id = format!("{name}-{number}");
         let answer = get(fleet, "/any/x", &id).await;
         if answer.status == 200 {
-            check_own(fleet, &answer, &id);
+            check_answer(fleet, &answer, &id);
         }
         answer.status == 200
     })
@@ -71,7 +71,7 @@
     wait_logged(&fleet, &["event=server_seen", "server=i-late"]).await;
     for number in 0..5 {
         let id = format!("r-{number}");
-        check_own(&fleet, &get(&fleet, "/any/x", &id).await, &id);
+        check_answer(&fleet, &get(&fleet, "/any/x", &id).await, &id);
     }
     assert_eq!(fleet.nodes[0].logged(&["event=server_leaving"]), Vec::<String>::new());
 }
@@ -117,7 +117,7 @@
     wait_logged(&fleet, &["event=server_seen", "server=i-last"]).await;
     for number in 0..20 {
         let id = format!("r-{number}");
-        check_own(&fleet, &get(&fleet, "/any/x", &id).await, &id);
+        check_answer(&fleet, &get(&fleet, "/any/x", &id).await, &id);
     }
     let calls = fleet.servers[0].state.calls();
     assert!(calls.iter().all(|call| call.header("x-target-instance") == Some("i-0")), "{calls:?}");
--- a/crates/lab/tests/routes_servers.rs
+++ b/crates/lab/tests/routes_servers.rs
@@ -5,7 +5,8 @@
 
 use serde_json::json;
 use streamfold_lab::route_checks::{
-    check_own, far, get, header, near, start_pair, start_single, tell_refusal, to_service, wait_delegated,
+    check_answer, format_refusal, get, header, local_server, remote_server, service_target, start_pair, start_single,
+    wait_delegated,
 };
 use streamfold_lab::route_fleet::{RouteFleet, RouteFleetPlan, write_route};
 use streamfold_lab::wait::wait_for;
@@ -18,7 +19,7 @@
     fleet.servers[0].state.switches.pause_ms.store(30_000, Ordering::Relaxed);
     wait_for("a request that met the paused server", async || {
         let id = format!("r-{}", fleet.servers[1].state.runs().len());
-        check_own(&fleet, &get(&fleet, "/any/x", &id).await, &id);
+        check_answer(&fleet, &get(&fleet, "/any/x", &id).await, &id);
         !fleet.servers[0].state.calls().is_empty()
     })
     .await;
@@ -34,7 +35,7 @@
     // Until the node knows what a call usually takes.
     for number in 0..30 {
         let id = format!("usual-{number}");
-        check_own(&fleet, &get(&fleet, "/any/x", &id).await, &id);
+        check_answer(&fleet, &get(&fleet, "/any/x", &id).await, &id);
     }
     assert!(fleet.servers[1].state.calls().is_empty(), "the near server is the better one");
     fleet.servers[0].state.pace.store(2_000, Ordering::Relaxed);
@@ -42,7 +43,7 @@
     wait_for("a request at the far server", async || {
         number += 1;
         let id = format!("slow-{number}");
-        check_own(&fleet, &get(&fleet, "/any/x", &id).await, &id);
+        check_answer(&fleet, &get(&fleet, "/any/x", &id).await, &id);
         !fleet.servers[1].state.calls().is_empty()
     })
     .await;
@@ -55,7 +56,7 @@
     for number in 0..60 {
         let id = format!("r-{number}");
         let path = if number % 2 == 0 { "/any/x" } else { "/once/x" };
-        check_own(&fleet, &get(&fleet, path, &id).await, &id);
+        check_answer(&fleet, &get(&fleet, path, &id).await, &id);
         assert_eq!(fleet.count_runs(&id), 1);
     }
     assert_eq!(fleet.servers[0].state.calls().len(), 1);
@@ -75,7 +76,7 @@
         fleet.servers[0].state.switches.refuse.store(true, Ordering::Relaxed);
         for number in 0..10 {
             let id = format!("r-{number}");
-            check_own(&fleet, &get(&fleet, path, &id).await, &id);
+            check_answer(&fleet, &get(&fleet, path, &id).await, &id);
             assert_eq!(fleet.count_runs(&id), 1);
         }
         assert_eq!(fleet.servers[0].state.calls()[0].id(), "r-0", "the near server is asked first");
@@ -91,7 +92,7 @@
     let mut seen = Vec::new();
     for (path, id) in [("/any/x", "r-any"), ("/once/x", "r-once")] {
         let answer = get(&fleet, path, id).await;
-        seen.push(format!("{path}: {}", tell_refusal(&answer)));
+        seen.push(format!("{path}: {}", format_refusal(&answer)));
         assert!(fleet.count_calls(id) > 0);
         assert_eq!(fleet.count_runs(id), 0);
     }
@@ -143,12 +144,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_runs_on_no_more_servers_than_its_route_allows() {
-    let mut servers: Vec<RouteServerPlan> = (0..5).map(|number| near(&format!("i-{number}"), "cart")).collect();
+    let mut servers: Vec<RouteServerPlan> = (0..5).map(|number| local_server(&format!("i-{number}"), "cart")).collect();
     for shard in ["s-0", "s-1"] {
-        servers.extend((0..4).map(|number| far(&format!("{shard}-{number}"), shard)));
+        servers.extend((0..4).map(|number| remote_server(&format!("{shard}-{number}"), shard)));
     }
     let gather = json!({ "gather": ["s-0", "s-1"], "topK": 7, "minCoverage": 0.5, "maxAttempts": 2 });
-    let routes = vec![write_route("any", "/any/", &to_service("cart")), write_route("all", "/all/", &gather)];
+    let routes = vec![write_route("any", "/any/", &service_target("cart")), write_route("all", "/all/", &gather)];
     let fleet = RouteFleet::start(RouteFleetPlan { nodes: [1, 1], servers, routes, ..RouteFleetPlan::default() })
         .await
         .expect("a fleet");
@@ -179,7 +180,7 @@
     }
     let mut seen = Vec::new();
     for path in ["/any/x", "/once/x"] {
-        seen.push(format!("{path}: {}", tell_refusal(&get(&fleet, path, "r-0").await)));
+        seen.push(format!("{path}: {}", format_refusal(&get(&fleet, path, "r-0").await)));
     }
     insta::assert_snapshot!(seen.join("\n"));
 }
@@ -199,7 +200,7 @@
     wait_for("a request that failed at one server first", async || {
         number += 1;
         let id = format!("r-{number}");
-        check_own(&fleet, &get(&fleet, "/any/x", &id).await, &id);
+        check_answer(&fleet, &get(&fleet, "/any/x", &id).await, &id);
         fleet.servers[0].state.runs().len() > before
     })
     .await;
@@ -223,7 +224,7 @@
         fault(&fleet.servers[0].state.switches).store(true, Ordering::Relaxed);
         for number in 0..10 {
             let id = format!("{name}-{number}");
-            check_own(&fleet, &get(&fleet, "/any/x", &id).await, &id);
+            check_answer(&fleet, &get(&fleet, "/any/x", &id).await, &id);
         }
         assert_eq!(fleet.servers[0].state.calls()[0].id(), format!("{name}-0"), "the near server is asked first");
     }
@@ -238,7 +239,7 @@
             let id = format!("{name}-{number}");
             let answer = get(&fleet, "/once/x", &id).await;
             match answer.status.is_success() {
-                true => check_own(&fleet, &answer, &id),
+                true => check_answer(&fleet, &answer, &id),
                 false => assert_eq!(answer.status, 502, "{id}: {answer:?}"),
             }
             assert_eq!(fleet.count_calls(&id), 1, "{id}");
@@ -267,7 +268,7 @@
         let id = format!("after-{number}");
         let answer = get(&fleet, "/any/x", &id).await;
         // The surplus must cost nothing more than a connection.
-        check_own(&fleet, &answer, &id);
+        check_answer(&fleet, &answer, &id);
     }
 }
 
@@ -278,7 +279,7 @@
     for number in 0..30 {
         let id = format!("r-{number}");
         let path = if number % 2 == 0 { "/any/x" } else { "/once/x" };
-        check_own(&fleet, &get(&fleet, path, &id).await, &id);
+        check_answer(&fleet, &get(&fleet, path, &id).await, &id);
     }
     assert_eq!(fleet.servers[0].state.connections.load(Ordering::Relaxed), 30);
 }
--- a/crates/lab/tests/routes_shards.rs
+++ b/crates/lab/tests/routes_shards.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use streamfold_lab::client::CallAnswer;
 use streamfold_lab::fleet::{pause_process, send_signal};
-use streamfold_lab::route_checks::{far, get, header, near};
+use streamfold_lab::route_checks::{get, header, local_server, remote_server};
 use streamfold_lab::route_fleet::{HOST, RouteFleet, RouteFleetPlan, write_route};
 use streamfold_lab::wait::wait_for;
 use streamfold_standin::server::{RouteServer, RouteServerPlan, make_records};
@@ -20,8 +20,8 @@
 /// Six shards: the first two near, one of them also far, the others far only. Two shards have
 /// equal records.
 async fn start_shards() -> RouteFleet {
-    let mut servers = vec![near("i-0", "s-0"), near("i-1", "s-1"), far("i-2", "s-1")];
-    servers.extend((2..6).map(|shard| far(&format!("i-{}", shard + 1), SHARDS[shard])));
+    let mut servers = vec![local_server("i-0", "s-0"), local_server("i-1", "s-1"), remote_server("i-2", "s-1")];
+    servers.extend((2..6).map(|shard| remote_server(&format!("i-{}", shard + 1), SHARDS[shard])));
     servers[6].seed = servers[5].seed.clone();
     let gather = json!({ "gather": SHARDS, "topK": 7, "minCoverage": 0.5 });
     let mut missing = vec!["s-none"];
@@ -50,7 +50,8 @@
 fn proven_shards(fleet: &RouteFleet, answer: &CallAnswer, id: &str) -> BTreeSet<String> {
     let values = answer.headers.get_all("x-part-stamps").iter().map(|value| value.to_str().expect("a text"));
     let proofs: Vec<&str> = values.flat_map(|value| value.split(',')).map(str::trim).collect();
-    let found = proofs.iter().map(|proof| fleet.find_proof(id, proof).expect("a proof for this request").to_owned());
+    let found =
+        proofs.iter().map(|proof| fleet.find_service_by_proof(id, proof).expect("a proof for this request").to_owned());
     let shards: BTreeSet<String> = found.collect();
     assert_eq!(shards.len(), proofs.len(), "a shard is in twice: {proofs:?}");
     shards
@@ -128,7 +129,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_leaves_takes_the_calls_of_all_shards_along() {
     // So high a target that no node tells another anything before the test gives up.
-    let servers: Vec<RouteServerPlan> = vec![near("i-0", "s-0"), far("i-1", "s-1"), far("i-2", "s-2")];
+    let servers: Vec<RouteServerPlan> =
+        vec![local_server("i-0", "s-0"), remote_server("i-1", "s-1"), remote_server("i-2", "s-2")];
     let gather = json!({ "gather": ["s-0", "s-1", "s-2"], "topK": 7, "minCoverage": 0.5, "timeoutMs": 700_000,
         "targetLatencyMs": 600_000, "maxAttempts": 1 });
     let routes = vec![write_route("all", "/all/", &gather)];
@@ -162,8 +164,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn while_nothing_is_heard_from_a_failure_domain_a_request_that_needs_it_is_refused_at_once() {
     const LATE: [&str; 4] = ["f-0", "f-1", "f-2", "f-3"];
-    let mut servers = vec![near("n-0", "near-0"), near("n-1", "near-1")];
-    servers.extend(LATE.iter().map(|shard| far(&format!("{shard}-f"), shard)));
+    let mut servers = vec![local_server("n-0", "near-0"), local_server("n-1", "near-1")];
+    servers.extend(LATE.iter().map(|shard| remote_server(&format!("{shard}-f"), shard)));
     let shards = ["near-0", "near-1", "f-0", "f-1", "f-2", "f-3"];
     let target = |coverage: f64| {
         json!({ "gather": shards, "topK": 7, "minCoverage": coverage, "maxAttempts": 2, "timeoutMs": 2_500,
--- a/crates/lab/tests/routes_stop.rs
+++ b/crates/lab/tests/routes_stop.rs
@@ -6,7 +6,7 @@
 use http::{Method, StatusCode};
 use serde_json::json;
 use streamfold_lab::fleet::send_signal;
-use streamfold_lab::route_checks::{check_own, get, near, start_single};
+use streamfold_lab::route_checks::{check_answer, get, local_server, start_single};
 use streamfold_lab::route_fleet::{HOST, RouteFleet, RouteFleetPlan, write_route};
 use streamfold_lab::wait::{WAIT_AT_MOST, wait_for};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -27,8 +27,8 @@
     fleet.wait_ready(StatusCode::SERVICE_UNAVAILABLE).await.expect("a node that is not ready");
     // The balancer has not noticed yet, so requests still come.
     fleet.servers[0].state.switches.work_ms.store(0, Ordering::Relaxed);
-    check_own(&fleet, &get(&fleet, "/any/x", "r-late").await, "r-late");
-    check_own(&fleet, &in_flight.await.expect("a caller").expect("an answer"), "r-long");
+    check_answer(&fleet, &get(&fleet, "/any/x", "r-late").await, "r-late");
+    check_answer(&fleet, &in_flight.await.expect("a caller").expect("an answer"), "r-long");
     let status = tokio::time::timeout(WAIT_AT_MOST, fleet.nodes[0].process.wait()).await;
     let status = status.expect("an end").expect("a status");
     assert!(status.success(), "{status}");
@@ -57,8 +57,12 @@
     let long = |kind: &str| json!({ "service": "cart", "routeType": kind, "timeoutMs": 120_000 });
     let routes =
         vec![write_route("any", "/any/", &long("safe")), write_route("once", "/once/", &long("non_idempotent"))];
-    let plan =
-        RouteFleetPlan { nodes: [1, 0], servers: vec![near("i-0", "cart")], routes, ..RouteFleetPlan::default() };
+    let plan = RouteFleetPlan {
+        nodes: [1, 0],
+        servers: vec![local_server("i-0", "cart")],
+        routes,
+        ..RouteFleetPlan::default()
+    };
     let fleet = RouteFleet::start(plan).await.expect("a fleet");
     let state = &fleet.servers[0].state;
     state.switches.pause_ms.store(120_000, Ordering::Relaxed);
--- a/crates/lab/tests/routes_store_calls.rs
+++ b/crates/lab/tests/routes_store_calls.rs
@@ -7,7 +7,7 @@
 
 use http::StatusCode;
 use serde_json::{Value, json};
-use streamfold_lab::route_checks::near;
+use streamfold_lab::route_checks::local_server;
 use streamfold_lab::route_fleet::{RouteFleet, RouteFleetPlan, RouteNode, write_route};
 use streamfold_lab::wait::wait_for;
 
@@ -25,7 +25,7 @@
 async fn start_fleet() -> RouteFleet {
     let plan = RouteFleetPlan {
         nodes: [NODES, 0],
-        servers: vec![near("i-0", "cart"), near("i-1", "cart")],
+        servers: vec![local_server("i-0", "cart"), local_server("i-1", "cart")],
         routes: routes(),
         ..RouteFleetPlan::default()
     };
--- a/crates/lab/tests/routes_teams.rs
+++ b/crates/lab/tests/routes_teams.rs
@@ -8,7 +8,9 @@
 use http::{Method, StatusCode};
 use serde_json::{Value, json};
 use streamfold_lab::client::CallAnswer;
-use streamfold_lab::route_checks::{far, header, near, once_to, tell_refusal, to_service};
+use streamfold_lab::route_checks::{
+    format_refusal, header, local_server, non_idempotent_target, remote_server, service_target,
+};
 use streamfold_lab::route_fleet::{RouteFleet, RouteFleetPlan, write_route};
 use streamfold_lab::wait::wait_for;
 use streamfold_standin::documents::{REVOKE_MS, USAGE_ALLOWANCE, USAGE_EXCESS, USAGE_WINDOW_S, write_team};
@@ -26,16 +28,16 @@
     let open = json!({ "service": "cart", "authExempt": true });
     let all = json!({ "gather": ["s-0", "s-1", "s-2"], "topK": 5, "minCoverage": 0.5 });
     vec![
-        write_route("any", "/any/", &to_service("cart")),
-        write_route("once", "/once/", &once_to("cart")),
+        write_route("any", "/any/", &service_target("cart")),
+        write_route("once", "/once/", &non_idempotent_target("cart")),
         write_route("open", "/open/", &open),
         write_route("all", "/all/", &all),
     ]
 }
 
 fn plan(teams: Vec<Value>) -> RouteFleetPlan {
-    let mut servers = vec![near("i-0", "cart"), far("i-1", "cart")];
-    servers.extend(["s-0", "s-1", "s-2"].map(|shard| far(&format!("{shard}-f"), shard)));
+    let mut servers = vec![local_server("i-0", "cart"), remote_server("i-1", "cart")];
+    servers.extend(["s-0", "s-1", "s-2"].map(|shard| remote_server(&format!("{shard}-f"), shard)));
     RouteFleetPlan { nodes: [2, 1], servers, routes: routes(), teams, ..RouteFleetPlan::default() }
 }
 
@@ -115,10 +117,10 @@
         for path in ["/any/x", "/all/x"] {
             let answer = get(&fleet, 0, path, "r-refused", headers).await;
             let asks = header(&answer, "www-authenticate").map(str::to_owned);
-            seen.push(format!("{name} {path}: {} {asks:?}", tell_refusal(&answer)));
+            seen.push(format!("{name} {path}: {} {asks:?}", format_refusal(&answer)));
         }
     }
-    seen.push(format!("no route: {}", tell_refusal(&get(&fleet, 0, "/nowhere/x", "r-refused", &[]).await)));
+    seen.push(format!("no route: {}", format_refusal(&get(&fleet, 0, "/nowhere/x", "r-refused", &[]).await)));
     insta::assert_snapshot!(seen.join("\n"));
     assert_eq!(fleet.count_calls("r-refused"), 0);
 }
@@ -131,7 +133,7 @@
     }
     // Blue has lost all of its keys, and red's is green's now.
     let teams = [write_team("blue", &[], None), write_team("green", &[bare(RED)], None)];
-    fleet.put_teams(2, &routes(), &teams);
+    fleet.put_team_document(2, &routes(), &teams);
     for node in 0..3 {
         wait_for("the end of the key", async || {
             let answer = get(&fleet, node, "/any/x", "r-gone", &[(names::KEY, BLUE)]).await;
