--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -1,7 +1,8 @@
-//! A soak: real nodes under faults played from outside, and the promises checked meanwhile.
-//! Its seed names the plan of faults and the callers; the moments are the machine's. Clocks have
-//! no fault of their own: a pause makes the monotonic one jump, and nothing is decided by the
-//! time of day.
+//! Soak test: runs real node processes, injects overlapping faults from outside and checks the
+//! guarantees while they run.
+//! The seed determines the sequence of faults and the callers' requests; the exact timing depends
+//! on the machine. There is no separate clock fault: pausing a process makes its monotonic clock
+//! jump, and no decision depends on the wall clock.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -22,55 +23,55 @@
 use crate::soak_fleet::{SoakFleet, lock};
 use crate::soak_machine::watch_machine;
 
-/// How often promises are checked meanwhile.
-const CHECK_EVERY: Duration = Duration::from_secs(3);
-/// How long after all faults requests may still fail.
-const BACK_WITHIN: Duration = Duration::from_secs(10);
-/// How long a request after the faults may take.
-const BACK_DEADLINE: Duration = Duration::from_secs(2);
-/// How long bytes that were held may still reach a server at the end.
-const SETTLE: Duration = Duration::from_millis(300);
-/// How often the lab looks how late it wakes up.
-const LAG_LOOK: Duration = Duration::from_millis(20);
-
-/// What the line of a panic has in a node's log.
-const PANICKED: &str = " event=panicked ";
-
-/// What a soak is.
+/// How often the guarantees are checked during the run.
+const CHECK_INTERVAL: Duration = Duration::from_secs(3);
+/// How long requests may still fail once all faults have ended.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Deadline of a request that is sent after the faults.
+const RECOVERY_DEADLINE: Duration = Duration::from_secs(2);
+/// How long bytes that a proxy had held may still reach a server at the end of the run.
+const DRAIN_DELAY: Duration = Duration::from_millis(300);
+/// How often the scheduling lag of the lab itself is measured.
+const LAG_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Text that marks a panic in a node's log.
+const PANIC_EVENT: &str = " event=panicked ";
+
+/// Parameters of a soak run.
 #[derive(Debug, Clone, Copy)]
 pub struct SoakPlan {
-    /// Names faults and callers.
+    /// Seed of the faults and of the callers.
     pub seed: u64,
-    /// How long faults are played.
+    /// How long faults are injected.
     pub time: Duration,
-    /// Nodes of each of the two failure domains.
+    /// Number of nodes in each of the two failure domains.
     pub nodes: usize,
 }
 
-/// How a soak went.
+/// Result of a soak run.
 #[derive(Debug)]
 pub struct SoakReport {
-    /// What it was.
+    /// Parameters of the run.
     pub plan: SoakPlan,
-    /// Requests by route and status.
+    /// Number of requests by route and status.
     pub outcomes: BTreeMap<String, usize>,
-    /// Faults played.
+    /// Number of faults injected.
     pub faults: u64,
-    /// Requests that had to go by the newest routes, as they were there for long enough.
+    /// Requests that had to use the newest routes, because these had been written long enough ago.
     pub routed: usize,
-    /// Requests that had to spare a server that had left long enough ago.
-    pub spared: usize,
-    /// Connections between nodes that went through proxies.
+    /// Requests that had to skip a server whose entry had been withdrawn long enough ago.
+    pub skipped: usize,
+    /// Number of connections between nodes that went through proxies.
     pub links: u64,
-    /// Requests that a node handed in part to another.
+    /// Requests of which a node delegated a part to another node.
     pub delegated: usize,
-    /// How often a node began to take the news of the store from another.
+    /// How often a node started to receive store updates from another node.
     pub relays: usize,
-    /// The longest that the lab itself woke up late, as a measure of the machine's load.
-    pub lab_late: Duration,
-    /// What was broken.
+    /// Longest scheduling lag of the lab itself, as a measure of the machine's load.
+    pub max_lab_lag: Duration,
+    /// Guarantees that were violated.
     pub violations: Vec<Violation>,
-    /// Where logs are.
+    /// Folder of the logs.
     pub folder: PathBuf,
 }
 
@@ -87,55 +88,55 @@
             outcomes.join(" "),
             self.faults,
             self.routed,
-            self.spared,
+            self.skipped,
             self.links,
             self.delegated,
             self.relays,
-            self.lab_late.as_millis(),
+            self.max_lab_lag.as_millis(),
             self.violations.len(),
             self.folder.display()
         )
     }
 }
 
-/// Plays a soak and checks it.
+/// Runs a soak and checks the guarantees during and after it.
 ///
 /// # Errors
-/// The fleet did not come up.
+/// The fleet did not become ready.
 pub async fn run(plan: SoakPlan) -> Result<SoakReport, RouteFleetError> {
     streamfold_standin::dice::seed(plan.seed);
     let fleet = SoakFleet::start(plan.seed, plan.nodes).await?;
     let log = Arc::new(CallerLog::default());
-    let late = Arc::new(AtomicU64::new(0));
+    let max_lag_us = Arc::new(AtomicU64::new(0));
     let mut watchers = JoinSet::new();
     watchers.spawn(watch_processes(fleet.clone()));
     watchers.spawn(watch_machine(fleet.clone()));
-    watchers.spawn(check_often(fleet.clone(), log.clone()));
-    watchers.spawn(measure_lag(late.clone()));
+    watchers.spawn(check_periodically(fleet.clone(), log.clone()));
+    watchers.spawn(measure_lag(max_lag_us.clone()));
     let mut callers = start_callers(&fleet, &log, plan.seed);
-    play(&fleet, plan).await;
-    fleet.note_fault("end of all faults");
-    check_back(&fleet, &log).await;
-    log.is_over.store(true, Ordering::Relaxed);
+    inject_faults(&fleet, plan).await;
+    fleet.log_fault("end of all faults");
+    check_recovery(&fleet, &log).await;
+    log.is_finished.store(true, Ordering::Relaxed);
     while callers.join_next().await.is_some() {}
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(DRAIN_DELAY).await;
     watchers.shutdown().await;
-    let (routed, spared) = check(fleet.clone(), &log).await;
-    note_panics(&fleet);
+    let (routed, skipped) = check(fleet.clone(), &log).await;
+    record_panics(&fleet);
     let mut outcomes = BTreeMap::new();
-    for request in lock(&log.seen).iter() {
+    for request in lock(&log.requests).iter() {
         *outcomes.entry(request.outcome()).or_default() += 1;
     }
     Ok(SoakReport {
         plan,
         outcomes,
         routed,
-        spared,
+        skipped,
         links: fleet.nodes.iter().map(|node| node.links.faults.connections.load(Ordering::Relaxed)).sum(),
         delegated: fleet.count_logged(&[" event=request ", " peers="]),
         relays: fleet.count_logged(&[" event=reader_followed "]),
         faults: fleet.faults.load(Ordering::Relaxed),
-        lab_late: Duration::from_micros(late.load(Ordering::Relaxed)),
+        max_lab_lag: Duration::from_micros(max_lag_us.load(Ordering::Relaxed)),
         violations: fleet.violations(),
         folder: fleet.folder.clone(),
     })
@@ -145,97 +146,97 @@
     let mut callers = JoinSet::new();
     for node in 0..fleet.nodes.len() {
         for (number, route) in SoakRoute::ALL.into_iter().chain([SoakRoute::Once]).enumerate() {
-            let own = seed.wrapping_mul(1_000) + (node * 10 + number) as u64;
-            callers.spawn(run_caller(fleet.clone(), log.clone(), node, route, own));
+            let caller_seed = seed.wrapping_mul(1_000) + (node * 10 + number) as u64;
+            callers.spawn(run_caller(fleet.clone(), log.clone(), node, route, caller_seed));
         }
     }
     callers
 }
 
-/// Plays all lanes of faults and waits until everything is as it was.
-async fn play(fleet: &Arc<SoakFleet>, plan: SoakPlan) {
+/// Runs all fault injectors concurrently and waits until every fault has ended.
+async fn inject_faults(fleet: &Arc<SoakFleet>, plan: SoakPlan) {
     let end = Instant::now() + plan.time;
-    let lane = |number: u64| {
-        let dice = SmallRng::seed_from_u64(plan.seed.wrapping_mul(100).wrapping_add(number));
-        FaultInjector { fleet: fleet.clone(), dice, end }
+    let injector = |number: u64| {
+        let rng = SmallRng::seed_from_u64(plan.seed.wrapping_mul(100).wrapping_add(number));
+        FaultInjector { fleet: fleet.clone(), rng, end }
     };
     let (even, odd): (Vec<usize>, Vec<usize>) = (0..fleet.nodes.len()).partition(|node| node % 2 == 0);
-    let mut lanes = JoinSet::new();
-    lanes.spawn(lane(1).play_nodes(even));
-    lanes.spawn(lane(2).play_nodes(odd));
-    lanes.spawn(lane(3).play_signals());
-    lanes.spawn(lane(4).play_servers());
-    lanes.spawn(lane(5).play_servers());
-    lanes.spawn(lane(6).play_servers());
-    lanes.spawn(lane(7).play_store());
-    lanes.spawn(lane(8).play_changes());
-    lanes.spawn(lane(9).play_links());
-    lanes.spawn(lane(10).play_links());
-    lanes.spawn(lane(11).play_store_ways());
-    lanes.spawn(lane(12).play_settings());
-    lanes.spawn(lane(13).play_silent_links());
-    while lanes.join_next().await.is_some() {}
+    let mut injectors = JoinSet::new();
+    injectors.spawn(injector(1).inject_node_faults(even));
+    injectors.spawn(injector(2).inject_node_faults(odd));
+    injectors.spawn(injector(3).inject_signals());
+    injectors.spawn(injector(4).inject_server_faults());
+    injectors.spawn(injector(5).inject_server_faults());
+    injectors.spawn(injector(6).inject_server_faults());
+    injectors.spawn(injector(7).inject_store_faults());
+    injectors.spawn(injector(8).inject_changes());
+    injectors.spawn(injector(9).inject_link_faults());
+    injectors.spawn(injector(10).inject_link_faults());
+    injectors.spawn(injector(11).inject_store_path_faults());
+    injectors.spawn(injector(12).inject_settings_faults());
+    injectors.spawn(injector(13).inject_silent_links());
+    while injectors.join_next().await.is_some() {}
 }
 
-async fn check_often(fleet: Arc<SoakFleet>, log: Arc<CallerLog>) {
+async fn check_periodically(fleet: Arc<SoakFleet>, log: Arc<CallerLog>) {
     loop {
-        tokio::time::sleep(CHECK_EVERY).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         check(fleet.clone(), &log).await;
     }
 }
 
-/// Checks everything seen so far, on a thread of its own: callers and servers go on.
+/// Checks everything observed so far, on a blocking thread so that callers and servers keep running.
 async fn check(fleet: Arc<SoakFleet>, log: &CallerLog) -> (usize, usize) {
-    let seen = lock(&log.seen).clone();
-    let look = move || {
-        let audit = SoakAudit::new(&fleet, &seen);
+    let requests = lock(&log.requests).clone();
+    let check_all = move || {
+        let audit = SoakAudit::new(&fleet, &requests);
         audit.check();
-        audit.count_ripe()
+        audit.count_binding()
     };
-    let checked = tokio::task::spawn_blocking(look).await;
+    let checked = tokio::task::spawn_blocking(check_all).await;
     checked.unwrap_or_else(|error| std::panic::resume_unwind(error.into_panic()))
 }
 
-/// Notes what the nodes' logs tell of tasks that panicked, with the place.
-fn note_panics(fleet: &SoakFleet) {
+/// Records a violation for every panic in the nodes' logs, with its location.
+fn record_panics(fleet: &SoakFleet) {
     for node in &fleet.nodes {
-        for line in node.logged(&[PANICKED]) {
-            fleet.note(ViolationKind::Panicked, &node.name, line);
+        for line in node.logged(&[PANIC_EVENT]) {
+            fleet.note_violation(ViolationKind::Panicked, &node.name, line);
         }
     }
 }
 
-async fn measure_lag(late: Arc<AtomicU64>) {
+async fn measure_lag(max_lag_us: Arc<AtomicU64>) {
     loop {
-        let begin = Instant::now();
-        tokio::time::sleep(LAG_LOOK).await;
-        let over = begin.elapsed().saturating_sub(LAG_LOOK).as_micros();
-        late.fetch_max(u64::try_from(over).unwrap_or(u64::MAX), Ordering::Relaxed);
+        let start = Instant::now();
+        tokio::time::sleep(LAG_CHECK_INTERVAL).await;
+        let lag = start.elapsed().saturating_sub(LAG_CHECK_INTERVAL).as_micros();
+        max_lag_us.fetch_max(u64::try_from(lag).unwrap_or(u64::MAX), Ordering::Relaxed);
     }
 }
 
-/// After all faults every route must work again at every node.
-async fn check_back(fleet: &Arc<SoakFleet>, log: &Arc<CallerLog>) {
+/// Checks that every route works again at every node after all faults.
+async fn check_recovery(fleet: &Arc<SoakFleet>, log: &Arc<CallerLog>) {
     let mut checks = JoinSet::new();
     for node in 0..fleet.nodes.len() {
         for route in SoakRoute::ALL {
-            checks.spawn(check_back_at(fleet.clone(), log.clone(), node, route));
+            checks.spawn(check_route_recovery(fleet.clone(), log.clone(), node, route));
         }
     }
     while checks.join_next().await.is_some() {}
 }
 
-async fn check_back_at(fleet: Arc<SoakFleet>, log: Arc<CallerLog>, node: usize, route: SoakRoute) {
+async fn check_route_recovery(fleet: Arc<SoakFleet>, log: Arc<CallerLog>, node: usize, route: SoakRoute) {
     let client = LabClient::default();
-    let begin = Instant::now();
-    let mut row = 0;
-    // Three in a row: one alone may have been lucky.
-    while row < 3 {
-        let is_success = log.call(&fleet, &client, node, route, BACK_DEADLINE).await;
-        row = if is_success { row + 1 } else { 0 };
-        if begin.elapsed() > BACK_WITHIN {
-            let seen = format!("no three successes in a row on route {} within {BACK_WITHIN:?}", route.name());
-            return fleet.note(ViolationKind::NotBack, &fleet.nodes[node].name, seen);
+    let start = Instant::now();
+    let mut successes = 0;
+    // Requires three consecutive successes: a single one may have been chance.
+    while successes < 3 {
+        let is_success = log.call(&fleet, &client, node, route, RECOVERY_DEADLINE).await;
+        successes = if is_success { successes + 1 } else { 0 };
+        if start.elapsed() > RECOVERY_TIMEOUT {
+            let detail = format!("no three successes in a row on route {} within {RECOVERY_TIMEOUT:?}", route.name());
+            return fleet.note_violation(ViolationKind::NotBack, &fleet.nodes[node].name, detail);
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
--- a/crates/lab/src/soak_audit.rs
+++ b/crates/lab/src/soak_audit.rs
@@ -1,4 +1,5 @@
-//! The promises that a soak checks, from what callers got and what servers saw.
+//! Checks the guarantees of the routers in a soak by comparing the answers that callers got with
+//! the requests that servers received.
 
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
@@ -12,86 +13,86 @@
 use crate::client::{CallAnswer, CallError};
 use crate::soak_fleet::{MIN_COVERAGE, SHARDS, SoakFleet, TOP, WithdrawnEntry, color_name, color_of, lock};
 
-/// How long after a newer document requests may still go by the older one.
-const APPLY_BOUND: Duration = Duration::from_secs(5);
-/// How long after its entry said so a leaving server may still get requests.
-const LEAVE_BOUND: Duration = Duration::from_secs(4);
-/// How long after its deadline a request may be answered.
-const LATE_BOUND: Duration = Duration::from_secs(1);
+/// How long after the write of a newer document requests may still use the older one.
+const MAX_APPLY_DELAY: Duration = Duration::from_secs(5);
+/// How long after its entry was withdrawn a server may still receive requests.
+const MAX_WITHDRAWAL_DELAY: Duration = Duration::from_secs(4);
+/// How long after its deadline a request may still be answered.
+const MAX_LATENESS: Duration = Duration::from_secs(1);
 
-/// A promise of the pages.
+/// Kind of a violation, named after the documented guarantee that it breaks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ViolationKind {
-    /// A request that must not repeat ran twice.
+    /// A request that must not be repeated ran twice.
     RanTwice,
-    /// A request was told as not run and ran.
+    /// A request was reported as not executed, but ran.
     RanThoughRefused,
-    /// A success is not the whole answer of a server to this very request.
+    /// A successful answer is not the complete answer of a server to this request.
     NotOwn,
-    /// A server ran a request that is not the one sent.
+    /// A server ran a request that differs from the one sent.
     Changed,
-    /// A folded answer is not what its proofs stand for.
+    /// A gathered answer does not match the shard answers whose proofs it names.
     BadFold,
-    /// A request went by routes that were long replaced.
+    /// A request used routes that had been replaced too long before.
     OldRoutes,
-    /// A node's run went back to older routes.
+    /// A node's run went back to older routes after it had used newer ones.
     WentBack,
-    /// A server that had left got a request.
+    /// A server received a request although its entry had been withdrawn.
     LeftServer,
-    /// A request that was read got no answer from a process that was not killed.
+    /// A request got no answer although the node had read it and was not killed.
     Cut,
-    /// A planned stop took too long or failed.
+    /// A planned stop took too long or ended with an error.
     BadStop,
-    /// A request was not answered in time.
+    /// A request was not answered within its deadline and tolerance.
     Late,
-    /// After all faults requests still failed.
+    /// Requests still failed, or a node was not ready, after the faults had ended.
     NotBack,
-    /// A process ended that nobody had asked to.
+    /// A process exited without having been asked to.
     Ended,
     /// A task of a node panicked.
     Panicked,
 }
 
-/// A promise that was broken.
+/// A violation of a guarantee.
 #[derive(Debug, Clone)]
 pub struct Violation {
-    /// The promise.
-    pub promise: ViolationKind,
-    /// The request, or the node.
+    /// Kind of the violation.
+    pub kind: ViolationKind,
+    /// The affected request or node.
     pub request: String,
-    /// What was seen.
-    pub seen: String,
+    /// What was observed.
+    pub detail: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} {}: {}", self.promise, self.request, self.seen)
+        write!(f, "{:?} {}: {}", self.kind, self.request, self.detail)
     }
 }
 
-/// What a disturbance concerns.
+/// Kind of a disturbance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DisturbanceKind {
-    /// The way to the store or what is in it.
+    /// The network path to the store or the content of the store is disturbed.
     Store,
     /// The process is paused.
     Paused,
-    /// The process was killed, or is not ready yet.
+    /// The process has been stopped or killed and is not ready again yet.
     Down,
-    /// The process was asked to stop.
+    /// The process has been asked to stop.
     Stopping,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Span {
+struct Disturbance {
     kind: DisturbanceKind,
     node: Option<usize>,
     from: Instant,
     until: Option<Instant>,
 }
 
-impl Span {
-    fn concerns(&self, node: Option<usize>) -> bool {
+impl Disturbance {
+    fn affects(&self, node: Option<usize>) -> bool {
         self.node.is_none() || node.is_none() || self.node == node
     }
 
@@ -100,91 +101,95 @@
     }
 }
 
-/// When what was disturbed.
+/// Log of disturbances with their start and end times.
 #[derive(Default)]
-pub struct DisturbanceLog(Mutex<Vec<Span>>);
+pub struct DisturbanceLog(Mutex<Vec<Disturbance>>);
 
 impl DisturbanceLog {
-    /// Begins a span; its number ends it.
-    pub fn begin(&self, kind: DisturbanceKind, node: Option<usize>) -> usize {
-        self.begin_at(kind, node, Instant::now())
+    /// Starts a disturbance now; returns the number with which it is ended.
+    pub fn start(&self, kind: DisturbanceKind, node: Option<usize>) -> usize {
+        self.start_at(kind, node, Instant::now())
     }
 
-    /// Begins a span that was noticed late.
-    pub fn begin_at(&self, kind: DisturbanceKind, node: Option<usize>, from: Instant) -> usize {
-        let mut spans = lock(&self.0);
-        spans.push(Span { kind, node, from, until: None });
-        spans.len() - 1
+    /// Starts a disturbance that began at an earlier time.
+    pub fn start_at(&self, kind: DisturbanceKind, node: Option<usize>, from: Instant) -> usize {
+        let mut disturbances = lock(&self.0);
+        disturbances.push(Disturbance { kind, node, from, until: None });
+        disturbances.len() - 1
     }
 
-    /// Ends a span.
+    /// Ends a disturbance.
     pub fn end(&self, number: usize) {
         lock(&self.0)[number].until = Some(Instant::now());
     }
 
-    /// Whether a node was disturbed in some of these ways in a time.
+    /// Whether a node was under a disturbance of one of these kinds in the given period.
     fn has(&self, node: usize, kinds: &[DisturbanceKind], from: Instant, until: Instant) -> bool {
-        let spans = lock(&self.0);
-        spans.iter().any(|span| span.concerns(Some(node)) && kinds.contains(&span.kind) && span.overlaps(from, until))
+        let disturbances = lock(&self.0);
+        disturbances.iter().any(|disturbance| {
+            disturbance.affects(Some(node)) && kinds.contains(&disturbance.kind) && disturbance.overlaps(from, until)
+        })
     }
 
-    /// Whether anything is disturbed in a way just now.
-    pub fn is_on(&self, kind: DisturbanceKind) -> bool {
+    /// Whether a disturbance of this kind is active now, for any node.
+    pub fn is_active(&self, kind: DisturbanceKind) -> bool {
         let now = Instant::now();
-        lock(&self.0).iter().any(|span| span.kind == kind && span.overlaps(now, now))
+        lock(&self.0).iter().any(|disturbance| disturbance.kind == kind && disturbance.overlaps(now, now))
     }
 
-    /// Whether a node's process was asked to end, or did.
+    /// Whether a node's process is stopping or down.
     pub fn is_leaving(&self, node: usize) -> bool {
         let now = Instant::now();
         self.has(node, &[DisturbanceKind::Stopping, DisturbanceKind::Down], now, now)
     }
 
-    /// Since when a node, or every one, should have known at a moment what was changed at
-    /// another; `None` where it was disturbed just then. Without its store or its process it
-    /// begins anew; a pause costs its length.
-    fn known_since(&self, node: Option<usize>, change: Instant, at: Instant) -> Option<Instant> {
-        let spans = lock(&self.0);
-        let concerned = spans.iter().filter(|span| span.concerns(node) && span.overlaps(change, at));
+    /// Time from which the delay counts within which a node, or every node, must learn of a change
+    /// made at `change`, as seen at the time `at`; `None` if a disturbance is active at `at`. A
+    /// disturbance of the store or the process restarts the delay at its end; a pause extends it
+    /// by its length.
+    fn must_know_since(&self, node: Option<usize>, change: Instant, at: Instant) -> Option<Instant> {
+        let disturbances = lock(&self.0);
+        let relevant =
+            disturbances.iter().filter(|disturbance| disturbance.affects(node) && disturbance.overlaps(change, at));
         let (mut since, mut pauses) = (change, Vec::new());
-        for span in concerned {
-            match (span.kind, span.until.filter(|until| *until < at)) {
+        for disturbance in relevant {
+            match (disturbance.kind, disturbance.until.filter(|until| *until < at)) {
                 (DisturbanceKind::Stopping, _) => {}
                 (_, None) => return None,
-                (DisturbanceKind::Paused, Some(until)) => pauses.push((span.from, until)),
+                (DisturbanceKind::Paused, Some(until)) => pauses.push((disturbance.from, until)),
                 (DisturbanceKind::Store | DisturbanceKind::Down, Some(until)) => since = since.max(until),
             }
         }
-        let lost = pauses.iter().map(|(from, until)| until.saturating_duration_since(since.max(*from)));
-        Some(since + lost.sum::<Duration>())
+        let paused = pauses.iter().map(|(from, until)| until.saturating_duration_since(since.max(*from)));
+        Some(since + paused.sum::<Duration>())
     }
 }
 
-/// A version of the operator's document.
+/// A version of the operator's document and when it was written.
 #[derive(Debug, Clone, Copy)]
 pub struct WrittenVersion {
-    /// Its number.
+    /// Number of the version.
     pub version: u64,
-    /// When it was in the store.
+    /// When it was written to the store.
     pub at: Instant,
 }
 
-/// The routes of a soak.
+/// Routes of a soak.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SoakRoute {
-    /// Repeatable.
+    /// To one service; requests may be repeated.
     Any,
-    /// Not repeatable.
+    /// To one service; requests must not be repeated.
     Once,
-    /// Over all shards.
+    /// Gathers the answers of all shards.
     All,
 }
 
 impl SoakRoute {
-    /// All of them.
+    /// All routes.
     pub const ALL: [Self; 3] = [Self::Any, Self::Once, Self::All];
 
-    /// Its name, also in its path.
+    /// Name of the route and first segment of its path.
     pub fn name(self) -> &'static str {
         match self {
             Self::Any => "any",
@@ -194,28 +199,28 @@
     }
 }
 
-/// A request as its caller saw it.
+/// A request and its result as the caller observed them.
 pub struct ObservedRequest {
-    /// Its id, which is its body too.
+    /// Request id, which is also the body.
     pub id: String,
-    /// Its route.
+    /// Requested route.
     pub route: SoakRoute,
-    /// The node that was asked.
+    /// Index of the node to which it was sent.
     pub node: usize,
-    /// Its run, if it was the same at the end.
+    /// Run of that node, if it was the same when the request was sent and when it ended.
     pub run: Option<u64>,
     /// When it was sent.
     pub sent: Instant,
     /// When it ended.
     pub ended: Instant,
-    /// How long its caller waits, as told.
+    /// Deadline sent with the request, measured from `sent`.
     pub deadline: Duration,
-    /// How it ended.
+    /// Answer or error.
     pub result: Result<CallAnswer, CallError>,
 }
 
 impl ObservedRequest {
-    /// Its route and status or error, for counts.
+    /// Route and status or error, as the key for counts.
     pub fn outcome(&self) -> String {
         let end = match &self.result {
             Ok(answer) => answer.status.as_u16().to_string(),
@@ -234,7 +239,7 @@
     }
 }
 
-/// A request at a server.
+/// A request as a server observed it.
 struct ServerObservation {
     server: usize,
     request: ReadRequest,
@@ -243,68 +248,70 @@
 
 type ObservationsById = HashMap<String, Vec<ServerObservation>>;
 
-/// One look at everything that callers and servers saw so far.
+/// Snapshot of everything that callers and servers have observed so far.
 pub struct SoakAudit<'a> {
     fleet: &'a SoakFleet,
-    seen: &'a [Arc<ObservedRequest>],
+    requests: &'a [Arc<ObservedRequest>],
     runs: ObservationsById,
     calls: ObservationsById,
 }
 
 impl<'a> SoakAudit<'a> {
-    /// Gathers what servers saw, after what callers saw.
-    pub fn new(fleet: &'a SoakFleet, seen: &'a [Arc<ObservedRequest>]) -> Self {
+    /// Collects the servers' observations. The callers' requests must have been copied before, so that
+    /// the servers' observations include them.
+    pub fn new(fleet: &'a SoakFleet, requests: &'a [Arc<ObservedRequest>]) -> Self {
         let (mut runs, mut calls) = (ObservationsById::new(), ObservationsById::new());
-        for (server, known) in fleet.servers.iter().enumerate() {
-            for run in known.server.state.runs() {
-                let sight = ServerObservation { server, request: run.request, proof: run.proof };
-                runs.entry(sight.request.id().to_owned()).or_default().push(sight);
+        for (server, soak_server) in fleet.servers.iter().enumerate() {
+            for run in soak_server.server.state.runs() {
+                let observation = ServerObservation { server, request: run.request, proof: run.proof };
+                runs.entry(observation.request.id().to_owned()).or_default().push(observation);
             }
-            for request in known.server.state.calls() {
-                let sight = ServerObservation { server, request, proof: String::new() };
-                calls.entry(sight.request.id().to_owned()).or_default().push(sight);
+            for request in soak_server.server.state.calls() {
+                let observation = ServerObservation { server, request, proof: String::new() };
+                calls.entry(observation.request.id().to_owned()).or_default().push(observation);
             }
         }
-        Self { fleet, seen, runs, calls }
+        Self { fleet, requests, runs, calls }
     }
 
-    /// Requests that had to go by the newest routes, and those that had to spare a server that
-    /// had left: what these two checks rest on.
-    pub fn count_ripe(&self) -> (usize, usize) {
-        let spans = &self.fleet.spans;
-        let (versions, gone) = (self.fleet.versions(), self.fleet.gone());
-        let is_ripe = |request: &ObservedRequest, change: Instant, bound: Duration| {
+    /// Counts the requests for which the newest routes were binding, and those that had to skip a
+    /// withdrawn server: the sample sizes of these two checks.
+    pub fn count_binding(&self) -> (usize, usize) {
+        let disturbances = &self.fleet.disturbances;
+        let (versions, withdrawn) = (self.fleet.versions(), self.fleet.withdrawn());
+        let is_binding = |request: &ObservedRequest, change: Instant, bound: Duration| {
             let node = (request.route != SoakRoute::All).then_some(request.node);
-            let since = spans.known_since(node, change, request.sent);
+            let since = disturbances.must_know_since(node, change, request.sent);
             change < request.sent && since.is_some_and(|since| request.sent > since + bound)
         };
-        let routed = self.seen.iter().filter(|request| {
+        let routed = self.requests.iter().filter(|request| {
             if request.route == SoakRoute::All {
                 return false;
             }
             let newest = versions.iter().rfind(|written| written.version > 1 && written.at < request.sent);
-            newest.is_some_and(|newest| is_ripe(request, newest.at, APPLY_BOUND))
+            newest.is_some_and(|newest| is_binding(request, newest.at, MAX_APPLY_DELAY))
         });
-        let spared = self.seen.iter().filter(|request| {
-            let asks = |gone: &WithdrawnEntry| {
-                let begins = |call: &ServerObservation| gone.id.starts_with(&format!("{}-i", self.service(call)));
-                self.calls(&request.id).iter().any(begins)
+        let skipped = self.requests.iter().filter(|request| {
+            let is_called_service = |entry: &WithdrawnEntry| {
+                let is_server_of_service =
+                    |call: &ServerObservation| entry.id.starts_with(&format!("{}-i", self.service(call)));
+                self.calls(&request.id).iter().any(is_server_of_service)
             };
-            let away = gone.iter().filter(|gone| gone.until.is_none_or(|until| request.sent < until));
-            let mut left = away.filter(|gone| asks(gone));
-            left.any(|gone| is_ripe(request, gone.from, LEAVE_BOUND))
+            let active = withdrawn.iter().filter(|entry| entry.until.is_none_or(|until| request.sent < until));
+            let mut matching = active.filter(|entry| is_called_service(entry));
+            matching.any(|entry| is_binding(request, entry.from, MAX_WITHDRAWAL_DELAY))
         });
-        (routed.count(), spared.count())
+        (routed.count(), skipped.count())
     }
 
-    /// Checks every promise; each one broken is noted.
+    /// Checks every guarantee and records each violation.
     pub fn check(&self) {
-        for request in self.seen {
+        for request in self.requests {
             self.check_runs(request);
-            self.check_end(request);
-            self.check_left(request);
+            self.check_outcome(request);
+            self.check_withdrawn(request);
             match request.route {
-                SoakRoute::All => self.check_fold(request),
+                SoakRoute::All => self.check_gathered(request),
                 SoakRoute::Any | SoakRoute::Once => self.check_answer(request),
             }
         }
@@ -319,12 +326,12 @@
         self.calls.get(id).map_or(&[], Vec::as_slice)
     }
 
-    fn note(&self, promise: ViolationKind, request: &ObservedRequest, seen: &str) {
+    fn note(&self, kind: ViolationKind, request: &ObservedRequest, detail: &str) {
         let node = &self.fleet.nodes[request.node].name;
         let (sent, ended) = (self.fleet.seconds(request.sent), self.fleet.seconds(request.ended));
         let outcome = request.outcome();
-        let text = format!("{seen}; {outcome} through {node}, sent {sent:.3} s, ended {ended:.3} s");
-        self.fleet.note(promise, &request.id, text);
+        let text = format!("{detail}; {outcome} through {node}, sent {sent:.3} s, ended {ended:.3} s");
+        self.fleet.note_violation(kind, &request.id, text);
     }
 
     fn check_runs(&self, request: &ObservedRequest) {
@@ -351,14 +358,15 @@
             return;
         }
         let run = self.runs(&request.id).iter().find(|run| Some(run.proof.as_str()) == proof);
-        let is_whole = run.is_some_and(|run| answer.body == self.fleet.servers[run.server].server.state.body());
-        if !is_whole || request.header(names::REQUEST_ID) != Some(&request.id) {
-            let seen = format!("proof {proof:?}, ran {}, whole {is_whole}, {:?}", run.is_some(), answer.headers);
-            self.note(ViolationKind::NotOwn, request, &seen);
+        let is_complete = run.is_some_and(|run| answer.body == self.fleet.servers[run.server].server.state.body());
+        if !is_complete || request.header(names::REQUEST_ID) != Some(&request.id) {
+            let detail =
+                format!("proof {proof:?}, ran {}, complete {is_complete}, {:?}", run.is_some(), answer.headers);
+            self.note(ViolationKind::NotOwn, request, &detail);
         }
     }
 
-    fn check_fold(&self, request: &ObservedRequest) {
+    fn check_gathered(&self, request: &ObservedRequest) {
         let Some(answer) = request.result.as_ref().ok().filter(|answer| answer.status.is_success()) else { return };
         let values = answer.headers.get_all(names::FOLDED_PROOFS).iter().filter_map(|value| value.to_str().ok());
         let proofs: Vec<&str> = values.flat_map(|value| value.split(',')).map(str::trim).collect();
@@ -366,54 +374,54 @@
         let find = |proof: &&str| runs.iter().find(|run| run.proof == **proof).map(|run| self.service(run));
         let shards: BTreeSet<&str> = proofs.iter().filter_map(find).collect();
         let missing: Option<usize> = request.header(names::MISSING_SHARDS).and_then(|count| count.parse().ok());
-        let is_right = shards.len() == proofs.len()
+        let is_correct = shards.len() == proofs.len()
             && missing == Some(SHARDS.len() - shards.len())
             && shards.len() as f64 >= MIN_COVERAGE * SHARDS.len() as f64
-            && answer.body == fold(&shards);
-        if !is_right {
-            let seen =
+            && answer.body == merge_records(&shards);
+        if !is_correct {
+            let detail =
                 format!("proofs {proofs:?}, shards {shards:?}, missing {missing:?}, {} bytes", answer.body.len());
-            self.note(ViolationKind::BadFold, request, &seen);
+            self.note(ViolationKind::BadFold, request, &detail);
         }
     }
 
-    fn service(&self, sight: &ServerObservation) -> &str {
-        &self.fleet.servers[sight.server].server.state.plan.service
+    fn service(&self, observation: &ServerObservation) -> &str {
+        &self.fleet.servers[observation.server].server.state.plan.service
     }
 
-    fn check_end(&self, request: &ObservedRequest) {
+    fn check_outcome(&self, request: &ObservedRequest) {
         let (sent, ended) = (request.sent, request.ended);
-        let has = |kinds: &[DisturbanceKind]| self.fleet.spans.has(request.node, kinds, sent, ended);
-        let took = ended - sent;
-        if took > request.deadline + LATE_BOUND && !has(&[DisturbanceKind::Paused, DisturbanceKind::Down]) {
-            self.note(ViolationKind::Late, request, &format!("{took:?} with a deadline of {:?}", request.deadline));
+        let has = |kinds: &[DisturbanceKind]| self.fleet.disturbances.has(request.node, kinds, sent, ended);
+        let duration = ended - sent;
+        if duration > request.deadline + MAX_LATENESS && !has(&[DisturbanceKind::Paused, DisturbanceKind::Down]) {
+            self.note(ViolationKind::Late, request, &format!("{duration:?} with a deadline of {:?}", request.deadline));
         }
         if let Err(CallError::Exchange(error)) = &request.result {
-            // A node that stops may close a kept connection before it has read a request on it.
-            let was_read = !self.calls(&request.id).is_empty() || !has(&[DisturbanceKind::Stopping]);
-            if was_read && !has(&[DisturbanceKind::Down]) {
+            // A stopping node may close a keep-alive connection before it has read a request on it.
+            let was_received = !self.calls(&request.id).is_empty() || !has(&[DisturbanceKind::Stopping]);
+            if was_received && !has(&[DisturbanceKind::Down]) {
                 let calls = self.calls(&request.id).len();
                 self.note(ViolationKind::Cut, request, &format!("{error}, {calls} calls at servers"));
             }
         }
     }
 
-    /// Entries that are gone, and the calls that their servers got all the same. What is left
-    /// of the deadline tells when a node sent the call, however long it was under way.
-    fn check_left(&self, request: &ObservedRequest) {
-        let gone = self.fleet.gone();
+    /// Checks that no server received a call after its entry had been withdrawn. The time when the node
+    /// sent the call follows from the remaining deadline, however long the call was on its way.
+    fn check_withdrawn(&self, request: &ObservedRequest) {
+        let withdrawn = self.fleet.withdrawn();
         for call in self.calls(&request.id) {
             let Some(target) = call.request.header(names::TARGET_SERVER) else { continue };
-            let left = Duration::from_secs_f64(call.request.deadline_ms().unwrap_or_default().max(0.0) / 1000.0);
-            let at = request.sent + request.deadline.saturating_sub(left);
-            let senders = (request.route != SoakRoute::All).then_some(request.node);
-            for entry in gone.iter().filter(|gone| gone.id == target) {
-                let since = self.fleet.spans.known_since(senders, entry.from, at);
-                let is_late = since.is_some_and(|since| at > since + LEAVE_BOUND);
+            let remaining = Duration::from_secs_f64(call.request.deadline_ms().unwrap_or_default().max(0.0) / 1000.0);
+            let at = request.sent + request.deadline.saturating_sub(remaining);
+            let node = (request.route != SoakRoute::All).then_some(request.node);
+            for entry in withdrawn.iter().filter(|entry| entry.id == target) {
+                let since = self.fleet.disturbances.must_know_since(node, entry.from, at);
+                let is_late = since.is_some_and(|since| at > since + MAX_WITHDRAWAL_DELAY);
                 if is_late && entry.until.is_none_or(|until| at < until) {
-                    let seen = format!("{target} gone at {:.3} s", self.fleet.seconds(entry.from));
-                    let sent = format!("{seen}, called at {:.3} s", self.fleet.seconds(at));
-                    self.note(ViolationKind::LeftServer, request, &sent);
+                    let withdrawal = format!("{target} withdrawn at {:.3} s", self.fleet.seconds(entry.from));
+                    let detail = format!("{withdrawal}, called at {:.3} s", self.fleet.seconds(at));
+                    self.note(ViolationKind::LeftServer, request, &detail);
                 }
             }
         }
@@ -421,16 +429,16 @@
 
     fn check_routes(&self) {
         let versions = self.fleet.versions();
-        let mut in_order: Vec<&ObservedRequest> =
-            self.seen.iter().map(AsRef::as_ref).filter(|seen| seen.route != SoakRoute::All).collect();
-        in_order.sort_by_key(|request| request.ended);
-        for request in &in_order {
+        let mut by_end: Vec<&ObservedRequest> =
+            self.requests.iter().map(AsRef::as_ref).filter(|request| request.route != SoakRoute::All).collect();
+        by_end.sort_by_key(|request| request.ended);
+        for request in &by_end {
             if let Some(call) = self.calls(&request.id).first() {
                 self.check_age(request, self.service(call), &versions);
             }
         }
         let mut by_run: HashMap<(usize, u64), Vec<&ObservedRequest>> = HashMap::new();
-        for request in in_order {
+        for request in by_end {
             if let Some(run) = request.run {
                 by_run.entry((request.node, run)).or_default().push(request);
             }
@@ -438,50 +446,54 @@
         by_run.values().for_each(|requests| self.check_order(requests, &versions));
     }
 
-    /// Whether a request went by routes that had long been replaced.
+    /// Checks that a request did not use routes that had been replaced too long before.
     fn check_age(&self, request: &ObservedRequest, service: &str, versions: &[WrittenVersion]) {
-        let is_used = |written: &WrittenVersion| color_name(color_of(written.version)) == service;
+        let has_service = |written: &WrittenVersion| color_name(color_of(written.version)) == service;
         let known: Vec<_> = versions.iter().filter(|written| written.at <= request.ended).collect();
-        let Some(position) = known.iter().rposition(|written| is_used(written)) else {
-            // Written at the end of the request or not at all.
+        let Some(position) = known.iter().rposition(|written| has_service(written)) else {
+            // The version was written after the end of the request, or never.
             return;
         };
         let Some(newer) = known.get(position + 1) else { return };
-        let since = self.fleet.spans.known_since(Some(request.node), newer.at, request.sent);
-        if since.is_some_and(|since| request.sent > since + APPLY_BOUND) {
+        let since = self.fleet.disturbances.must_know_since(Some(request.node), newer.at, request.sent);
+        if since.is_some_and(|since| request.sent > since + MAX_APPLY_DELAY) {
             let written = self.fleet.seconds(newer.at);
-            let seen = format!("went to {service}, version {} is there since {written:.3} s", newer.version);
-            self.note(ViolationKind::OldRoutes, request, &seen);
+            let detail = format!("went to {service}, version {} was written at {written:.3} s", newer.version);
+            self.note(ViolationKind::OldRoutes, request, &detail);
         }
     }
 
-    /// Whether requests of one run, in the order of their ends, went back to older routes.
+    /// Checks that the requests of one run, sorted by their end, did not go back to older routes.
     fn check_order(&self, requests: &[&ObservedRequest], versions: &[WrittenVersion]) {
-        // The least version that each request proves for those sent after its end.
-        let mut floors: Vec<(Instant, u64)> = Vec::new();
+        // Minimum version that each request proves for all requests sent after its end.
+        let mut min_versions: Vec<(Instant, u64)> = Vec::new();
         for request in requests {
             let Some(call) = self.calls(&request.id).first() else { continue };
             let service = self.service(call);
-            let before = floors.iter().rev().find(|(ended, _)| *ended < request.sent).map_or(0, |(_, floor)| *floor);
-            let uses = |written: &&WrittenVersion| color_name(color_of(written.version)) == service;
-            let known = versions.iter().filter(uses).filter(|written| written.at <= request.ended);
+            let lower_bound = min_versions
+                .iter()
+                .rev()
+                .find(|(ended, _)| *ended < request.sent)
+                .map_or(0, |(_, min_version)| *min_version);
+            let has_service = |written: &&WrittenVersion| color_name(color_of(written.version)) == service;
+            let known = versions.iter().filter(has_service).filter(|written| written.at <= request.ended);
             let newest = known.clone().map(|written| written.version).max();
-            match known.map(|written| written.version).find(|version| *version >= before) {
+            match known.map(|written| written.version).find(|version| *version >= lower_bound) {
                 Some(version) => {
-                    let floor = floors.last().map_or(version, |(_, floor)| version.max(*floor));
-                    floors.push((request.ended, floor));
+                    let min_version = min_versions.last().map_or(version, |(_, min_version)| version.max(*min_version));
+                    min_versions.push((request.ended, min_version));
                 }
                 None => {
-                    let seen = format!("went to {service}, newest version {newest:?}, after version {before}");
-                    self.note(ViolationKind::WentBack, request, &seen);
+                    let detail = format!("went to {service}, newest version {newest:?}, after version {lower_bound}");
+                    self.note(ViolationKind::WentBack, request, &detail);
                 }
             }
         }
     }
 }
 
-/// The greatest records of some shards, greatest first.
-fn fold(shards: &BTreeSet<&str>) -> Bytes {
+/// The greatest records of the given shards, in descending order.
+fn merge_records(shards: &BTreeSet<&str>) -> Bytes {
     let mut records: Vec<_> = shards.iter().flat_map(|seed| make_records(seed, 8)).collect();
     records.sort_by(|a, b| b.cmp(a));
     records.truncate(TOP);
--- a/crates/lab/src/soak_fleet.rs
+++ b/crates/lab/src/soak_fleet.rs
@@ -1,6 +1,6 @@
-//! What a soak runs on: real nodes that it signals and starts again, stand-ins, and a proxy
-//! before each server, before each node's port for other nodes, and between each node and the
-//! store.
+//! Fleet of a soak: real node processes that are signalled and restarted, stand-ins for the store
+//! and the servers, and a fault-injecting proxy before each server, before each node's port for
+//! other nodes, and between each node and the store.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -25,41 +25,41 @@
 use crate::route_fleet::{DOMAINS, RouteAddresses, RouteFleetError, WHOLE_CORE, any_port, find_ports, write_settings};
 use crate::soak_audit::{DisturbanceKind, DisturbanceLog, Violation, ViolationKind, WrittenVersion};
 
-/// Services that versions of the document lead to, one after the other.
+/// Number of services between which successive versions of the document rotate (colours).
 pub const COLORS: usize = 6;
-/// Shards of the route over all shards.
+/// Shards of the route that gathers answers of all shards.
 pub const SHARDS: [&str; 4] = ["s-0", "s-1", "s-2", "s-3"];
-/// Records in its answer.
+/// Maximum number of records in the answer of that route.
 pub const TOP: usize = 7;
-/// The share of shards that makes an answer of it.
+/// Minimum share of the shards for an answer of that route.
 pub const MIN_COVERAGE: f64 = 0.5;
-/// How long a node may take to be ready.
+/// How long a node may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Violations of one promise that are told at once; all are counted.
-const TOLD: usize = 10;
-/// How often processes are looked at.
-const LOOK: Duration = Duration::from_millis(20);
+/// Number of violations of one kind that are printed immediately; all are recorded.
+const MAX_PRINTED: usize = 10;
+/// How often processes are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A server behind its proxy.
+/// A server and the proxy before it.
 pub struct SoakServer {
     /// The server.
     pub server: RouteServer,
-    /// What stands before it.
+    /// The proxy through which nodes reach it.
     pub proxy: FaultProxy,
-    is_moving: AtomicBool,
+    is_entry_changing: AtomicBool,
 }
 
-/// A node with its process.
+/// A node and its process.
 pub struct SoakNode {
     /// Its name.
     pub name: String,
     /// Its ports.
     pub addresses: RouteAddresses,
-    /// What stands between it and the store.
+    /// Proxy between the node and the store.
     pub store: FaultProxy,
-    /// What stands between it and the nodes that connect to it.
+    /// Proxy for the connections of other nodes to this one.
     pub links: FaultProxy,
-    /// How often it was started; it changes when a run ends, too.
+    /// Counter that changes whenever a run of the process starts or ends.
     pub run: AtomicU64,
     settings: String,
     settings_file: Mutex<PathBuf>,
@@ -68,47 +68,47 @@
 }
 
 impl SoakNode {
-    /// Lines of its log that hold all of some texts.
+    /// Lines of the node's log that contain all the given texts.
     pub fn logged(&self, texts: &[&str]) -> Vec<String> {
-        // A log that cannot be read counts for nothing, which the report then shows.
+        // A log that cannot be read counts as empty, which shows in the report.
         let log = std::fs::read_to_string(&self.log).unwrap_or_default();
-        let holds = |line: &&str| texts.iter().all(|text| line.contains(text));
-        log.lines().filter(holds).map(str::to_owned).collect()
+        let contains_all = |line: &&str| texts.iter().all(|text| line.contains(text));
+        log.lines().filter(contains_all).map(str::to_owned).collect()
     }
 }
 
-/// An entry that said that its server leaves, or that was removed.
+/// A server's entry that was set to draining or removed.
 #[derive(Debug, Clone)]
 pub struct WithdrawnEntry {
-    /// The server's id.
+    /// Id of the server.
     pub id: String,
-    /// Since when.
+    /// When the entry was withdrawn.
     pub from: Instant,
-    /// When it came back, if it did.
+    /// When the entry was ready again, if it was.
     pub until: Option<Instant>,
 }
 
-/// Everything that a soak runs on, with what was done to it.
+/// All processes and stand-ins of a soak, with the log of disturbances, changes and violations.
 pub struct SoakFleet {
     /// The store.
     pub platform: PlatformStandin,
-    /// Servers: two of each colour, then two of each shard.
+    /// Servers: two for each colour, then two for each shard.
     pub servers: Vec<SoakServer>,
     /// Nodes.
     pub nodes: Vec<SoakNode>,
-    /// Where logs are kept.
+    /// Folder of the logs.
     pub folder: PathBuf,
-    /// When what was disturbed.
-    pub spans: DisturbanceLog,
-    /// Faults played.
+    /// Log of disturbances.
+    pub disturbances: DisturbanceLog,
+    /// Number of faults injected.
     pub faults: AtomicU64,
     versions: Mutex<Vec<WrittenVersion>>,
-    gone: Mutex<Vec<WithdrawnEntry>>,
+    withdrawn: Mutex<Vec<WithdrawnEntry>>,
     violations: Mutex<Vec<Violation>>,
     started: Instant,
 }
 
-/// Locks a value that stays usable after a panic.
+/// Locks a mutex, also if it is poisoned: the protected value stays usable after a panic.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -117,17 +117,17 @@
     move |source| RouteFleetError::Io { what, source }
 }
 
-/// The service of a colour.
+/// Name of the service of a colour.
 pub fn color_name(color: usize) -> String {
     format!("cart-{color}")
 }
 
-/// The colour that a version leads to.
+/// The colour to which a version of the document routes.
 pub fn color_of(version: u64) -> usize {
     usize::try_from(version).unwrap_or_default() % COLORS
 }
 
-/// The routes of a version: their service and their time-outs differ from version to version.
+/// The routes of a version of the document. Service and timeouts differ from version to version.
 pub fn routes_of(version: u64) -> Vec<Value> {
     let service = color_name(color_of(version));
     let timeout = 3_000 + version * 1_700 % 5_000;
@@ -139,8 +139,9 @@
     ]
 }
 
-/// A colour has a server in each failure domain. A shard has both in one, the first half of the
-/// shards in the first: each node needs another for the other half.
+/// Servers of the fleet. A colour has one server in each failure domain. Both servers of a shard are
+/// in the same domain, for the first half of the shards the first one, so that each node has to
+/// delegate the other half to another node.
 fn plan_servers() -> Vec<RouteServerPlan> {
     let pair = |service: &str, domains: [usize; 2]| {
         let plan = |number: usize, domain: usize| {
@@ -154,31 +155,31 @@
 }
 
 impl SoakFleet {
-    /// Starts everything and waits until it is ready.
+    /// Starts all parts of the fleet and waits until every node is ready.
     ///
     /// # Errors
-    /// Something did not come up.
+    /// A part could not be started, or a node did not become ready.
     pub async fn start(seed: u64, nodes: usize) -> Result<Arc<Self>, RouteFleetError> {
         let unique: u32 = rand::random();
         let folder = std::env::temp_dir().join(format!("streamfold-soak-{seed}-{unique:08x}"));
-        std::fs::create_dir_all(&folder).map_err(io("the folder of logs"))?;
+        std::fs::create_dir_all(&folder).map_err(io("the log folder"))?;
         let platform = platform::start(any_port()).await.map_err(io("the platform"))?;
         let mut fleet = Self {
             platform,
             servers: Vec::new(),
             nodes: Vec::new(),
             folder,
-            spans: DisturbanceLog::default(),
+            disturbances: DisturbanceLog::default(),
             faults: AtomicU64::new(0),
             versions: Mutex::default(),
-            gone: Mutex::default(),
+            withdrawn: Mutex::default(),
             violations: Mutex::default(),
             started: Instant::now(),
         };
         for plan in plan_servers() {
             let server = route_server::start(any_port(), plan).await.map_err(io("a server"))?;
             let proxy = proxy::start(any_port(), server.address).await.map_err(io("a proxy"))?;
-            fleet.servers.push(SoakServer { server, proxy, is_moving: AtomicBool::new(false) });
+            fleet.servers.push(SoakServer { server, proxy, is_entry_changing: AtomicBool::new(false) });
         }
         (0..fleet.servers.len()).for_each(|position| fleet.register(position, "ready"));
         fleet.write_version(1);
@@ -196,9 +197,9 @@
     }
 
     async fn make_nodes(&mut self, count: usize) -> Result<(), RouteFleetError> {
-        let places: Vec<(usize, usize)> = (0..2).flat_map(|domain| (0..count).map(move |n| (domain, n))).collect();
+        let positions: Vec<(usize, usize)> = (0..2).flat_map(|domain| (0..count).map(move |n| (domain, n))).collect();
         let mut ports = Vec::new();
-        for _ in &places {
+        for _ in &positions {
             ports.push(find_ports());
         }
         let mut links = Vec::new();
@@ -208,10 +209,10 @@
             links.push(proxy);
         }
         let proxies: Vec<String> = links.iter().map(|proxy| proxy.address.to_string()).collect();
-        for ((domain, number), (addresses, links)) in places.into_iter().zip(ports.into_iter().zip(links)) {
+        for ((domain, number), (addresses, links)) in positions.into_iter().zip(ports.into_iter().zip(links)) {
             let name = format!("{}-{number}", DOMAINS[domain]);
-            let own = links.address.to_string();
-            let seeds: Vec<String> = proxies.iter().filter(|proxy| **proxy != own).cloned().collect();
+            let own_proxy = links.address.to_string();
+            let seeds: Vec<String> = proxies.iter().filter(|proxy| **proxy != own_proxy).cloned().collect();
             let store = proxy::start(any_port(), self.platform.address).await.map_err(io("a proxy"))?;
             let settings = write_settings(&name, domain, &addresses, store.address, &seeds, WHOLE_CORE)?;
             let settings_file = Mutex::default();
@@ -222,19 +223,19 @@
         Ok(())
     }
 
-    /// Writes a server's entry in a state, under the id that it has now.
+    /// Writes a server's entry with the given state, under the server's current id.
     pub fn register(&self, position: usize, state: &str) {
         let SoakServer { server, proxy, .. } = &self.servers[position];
         let mut entry = server.entry(state);
         entry["address"] = json!(proxy.address.to_string());
         let id = server.state.id();
-        let mut gone = lock(&self.gone);
+        let mut withdrawn = lock(&self.withdrawn);
         if state == "ready" {
-            gone.iter_mut().filter(|gone| gone.id == id && gone.until.is_none()).for_each(WithdrawnEntry::end);
+            withdrawn.iter_mut().filter(|entry| entry.id == id && entry.until.is_none()).for_each(WithdrawnEntry::end);
         }
         self.platform.state.put_object(documents::SERVERS, &id, entry);
         if state != "ready" {
-            gone.push(WithdrawnEntry { id, from: Instant::now(), until: None });
+            withdrawn.push(WithdrawnEntry { id, from: Instant::now(), until: None });
         }
     }
 
@@ -242,28 +243,29 @@
     pub fn unregister(&self, position: usize) {
         let id = self.servers[position].server.state.id();
         self.platform.state.remove_object(documents::SERVERS, &id);
-        let mut gone = lock(&self.gone);
-        if !gone.iter().any(|gone| gone.id == id && gone.until.is_none()) {
-            gone.push(WithdrawnEntry { id, from: Instant::now(), until: None });
+        let mut withdrawn = lock(&self.withdrawn);
+        if !withdrawn.iter().any(|entry| entry.id == id && entry.until.is_none()) {
+            withdrawn.push(WithdrawnEntry { id, from: Instant::now(), until: None });
         }
     }
 
     /// Whether a server's entry is being changed.
-    pub fn is_moving(&self, position: usize) -> bool {
-        self.servers[position].is_moving.load(Ordering::Relaxed)
+    pub fn is_entry_changing(&self, position: usize) -> bool {
+        self.servers[position].is_entry_changing.load(Ordering::Relaxed)
     }
 
-    /// Notes whether a server's entry is being changed.
-    pub fn set_moving(&self, position: usize, is_moving: bool) {
-        self.servers[position].is_moving.store(is_moving, Ordering::Relaxed);
+    /// Marks whether a server's entry is being changed.
+    pub fn set_entry_changing(&self, position: usize, is_entry_changing: bool) {
+        self.servers[position].is_entry_changing.store(is_entry_changing, Ordering::Relaxed);
     }
 
-    /// Entries that were gone so far.
-    pub fn gone(&self) -> Vec<WithdrawnEntry> {
-        lock(&self.gone).clone()
+    /// All entries that have been withdrawn, including those that are ready again.
+    pub fn withdrawn(&self) -> Vec<WithdrawnEntry> {
+        lock(&self.withdrawn).clone()
     }
 
-    /// Writes a version of the document; an older one changes nothing that was promised.
+    /// Writes a version of the document. A version older than the last one is not recorded: it does
+    /// not change what nodes must guarantee.
     pub fn write_version(&self, version: u64) {
         let document = write_document(version, &routes_of(version));
         let mut versions = lock(&self.versions);
@@ -273,45 +275,45 @@
         self.platform.state.put_object(documents::CONFIG, documents::CONFIG_NAME, document);
     }
 
-    /// Versions in the order of their writing.
+    /// Versions in the order in which they were written.
     pub fn versions(&self) -> Vec<WrittenVersion> {
         lock(&self.versions).clone()
     }
 
-    /// Notes that a promise was broken, once for each request and promise.
-    pub fn note(&self, promise: ViolationKind, request: &str, seen: String) {
+    /// Records a violation, once for each request and kind.
+    pub fn note_violation(&self, kind: ViolationKind, request: &str, detail: String) {
         let mut violations = lock(&self.violations);
-        if !violations.iter().any(|known| known.promise == promise && known.request == request) {
-            let violation = Violation { promise, request: request.to_owned(), seen };
-            // Also into the log of the run, which outlasts what the test printed.
-            self.tell(&format!("broken {violation}"));
-            if violations.iter().filter(|known| known.promise == promise).count() < TOLD {
+        if !violations.iter().any(|recorded| recorded.kind == kind && recorded.request == request) {
+            let violation = Violation { kind, request: request.to_owned(), detail };
+            // Also goes to the log of the run, which outlasts the output of the test.
+            self.log_event(&format!("violated {violation}"));
+            if violations.iter().filter(|recorded| recorded.kind == kind).count() < MAX_PRINTED {
                 eprintln!("violation at {:.3} s: {violation}", self.started.elapsed().as_secs_f64());
             }
             violations.push(violation);
         }
     }
 
-    /// Notes something done to the fleet, for the log of the run.
-    pub fn note_fault(&self, what: &str) {
+    /// Counts a fault or change and writes it to the log of the run.
+    pub fn log_fault(&self, what: &str) {
         self.faults.fetch_add(1, Ordering::Relaxed);
-        self.tell(what);
+        self.log_event(what);
     }
 
     /// Writes a line to the log of the run.
-    pub fn tell(&self, what: &str) {
+    pub fn log_event(&self, what: &str) {
         let line = format!("{:.3} {what}\n", self.started.elapsed().as_secs_f64());
         let file = std::fs::OpenOptions::new().create(true).append(true).open(self.folder.join("faults.log"));
-        // Without this log the run is only harder to read.
+        // Errors are ignored: the log serves only the analysis of a run.
         let _ = file.and_then(|mut file| std::io::Write::write_all(&mut file, line.as_bytes()));
     }
 
-    /// Seconds since the fleet began, of a moment.
+    /// Converts a time to seconds since the start of the fleet.
     pub fn seconds(&self, at: Instant) -> f64 {
         at.saturating_duration_since(self.started).as_secs_f64()
     }
 
-    /// What was broken so far.
+    /// All violations recorded so far.
     pub fn violations(&self) -> Vec<Violation> {
         lock(&self.violations).clone()
     }
@@ -319,10 +321,10 @@
     /// Starts a node's process.
     ///
     /// # Errors
-    /// It cannot be started.
+    /// The process cannot be started.
     pub async fn start_node(&self, position: usize) -> Result<(), RouteFleetError> {
         let node = &self.nodes[position];
-        // A file of its own for each run: what is done to one run's disturbs no start.
+        // Each run has its own settings file, so that damage to the file of one run does not affect the next start.
         let file = self.folder.join(format!("{}-{}.yaml", node.name, node.run.load(Ordering::SeqCst)));
         std::fs::write(&file, &node.settings).map_err(io("writing settings"))?;
         let child = spawn(&file, &node.log).map_err(io("streamfoldd"))?;
@@ -332,26 +334,26 @@
         Ok(())
     }
 
-    /// Waits until a node is ready; false if that took too long.
+    /// Waits until a node is ready; returns false on a timeout.
     ///
     /// # Errors
-    /// Its process ended so.
+    /// The exit status, if the node's process exited.
     pub async fn wait_ready(&self, position: usize) -> Result<bool, ExitStatus> {
         let client = LabClient::default();
-        let begin = Instant::now();
-        while begin.elapsed() < READY_TIMEOUT {
+        let start = Instant::now();
+        while start.elapsed() < READY_TIMEOUT {
             if ready_status(&client, self.nodes[position].addresses.ready).await == Some(StatusCode::OK) {
                 return Ok(true);
             }
-            if let Some(status) = self.look_end(position).await {
+            if let Some(status) = self.poll_exit(position).await {
                 return Err(status);
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(false)
     }
 
-    /// Sends a signal to a node's process, if it still is of a run.
+    /// Sends a signal to a node's process, if the process still belongs to the given run.
     pub async fn signal(&self, position: usize, run: u64, name: &str) {
         let node = &self.nodes[position];
         let process = node.process.lock().await;
@@ -360,58 +362,58 @@
         }
     }
 
-    /// Waits for a node's process to end; `None` if it goes on for so long.
-    pub async fn wait_end(&self, position: usize, limit: Duration) -> Option<ExitStatus> {
-        let begin = Instant::now();
-        while begin.elapsed() < limit {
-            if let Some(status) = self.look_end(position).await {
+    /// Waits for a node's process to exit; `None` if it still runs after `limit`.
+    pub async fn wait_exit(&self, position: usize, limit: Duration) -> Option<ExitStatus> {
+        let start = Instant::now();
+        while start.elapsed() < limit {
+            if let Some(status) = self.poll_exit(position).await {
                 return Some(status);
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         None
     }
 
-    /// Lines in the logs of all nodes that hold all of some texts.
+    /// Counts the lines in the logs of all nodes that contain all the given texts.
     pub fn count_logged(&self, texts: &[&str]) -> usize {
         self.nodes.iter().map(|node| node.logged(texts).len()).sum()
     }
 
-    /// How a node's process ended, if it did since it was last asked.
-    pub async fn look_end(&self, position: usize) -> Option<ExitStatus> {
-        self.take_end(position, &mut *self.nodes[position].process.lock().await)
+    /// Exit status of a node's process, if it has exited since the last call.
+    pub async fn poll_exit(&self, position: usize) -> Option<ExitStatus> {
+        self.take_exit(position, &mut *self.nodes[position].process.lock().await)
     }
 
-    /// How a node's process ended that nobody had asked to.
-    pub async fn look_unasked_end(&self, position: usize) -> Option<ExitStatus> {
-        // Whoever asks notes it before the signal, which needs the lock.
+    /// Exit status of a node's process, if it has exited without having been stopped or killed.
+    pub async fn poll_unexpected_exit(&self, position: usize) -> Option<ExitStatus> {
+        // A planned stop or kill is recorded as a disturbance before its signal is sent, which needs this lock.
         let mut process = self.nodes[position].process.lock().await;
-        if self.spans.is_leaving(position) { None } else { self.take_end(position, &mut process) }
+        if self.disturbances.is_leaving(position) { None } else { self.take_exit(position, &mut process) }
     }
 
-    fn take_end(&self, position: usize, process: &mut Option<Child>) -> Option<ExitStatus> {
+    fn take_exit(&self, position: usize, process: &mut Option<Child>) -> Option<ExitStatus> {
         let status = process.as_mut()?.try_wait().ok()??;
         *process = None;
         self.nodes[position].run.fetch_add(1, Ordering::SeqCst);
         Some(status)
     }
 
-    /// The settings file that a node's process has read, and what was in it; `None` while the
-    /// process may still have to read it.
+    /// The settings file that a node's process has read, and its content; `None` while the process
+    /// may not have read it yet.
     pub fn read_settings(&self, position: usize) -> Option<(PathBuf, &str)> {
         let node = &self.nodes[position];
         let file = lock(&node.settings_file).clone();
-        (!self.spans.is_leaving(position)).then_some((file, node.settings.as_str()))
+        (!self.disturbances.is_leaving(position)).then_some((file, node.settings.as_str()))
     }
 
-    /// The id of a node's process, while it has one.
+    /// Id of a node's process, if it runs.
     pub async fn process_id(&self, position: usize) -> Option<u32> {
         self.nodes[position].process.lock().await.as_ref()?.id()
     }
 
-    /// Begins a span in which a node or, without one, all of them are disturbed.
-    pub fn disturb(&self, kind: DisturbanceKind, node: Option<usize>) -> usize {
-        self.spans.begin(kind, node)
+    /// Records the start of a disturbance of one node or, if `node` is `None`, of all nodes.
+    pub fn start_disturbance(&self, kind: DisturbanceKind, node: Option<usize>) -> usize {
+        self.disturbances.start(kind, node)
     }
 }
 
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -1,42 +1,47 @@
-//! The soak in short: two plans for every run of the tests, and each seed that ever failed.
+//! Short soak runs: two fixed plans, and each seed that has failed before as a regression test.
 
 use std::time::Duration;
 
 use streamfold_lab::soak::{SoakPlan, run};
 
-/// Plans that ever failed, each with its cause.
-const KEPT: &str = include_str!("../soak-seeds.txt");
-/// What every run of the tests plays first; in the second, nodes share the news of the store.
-const SHORT: &str = "2026 6\n2027 8 4";
-/// Nodes of each failure domain where a plan does not say.
-const NODES: usize = 2;
-/// Nodes of a failure domain from which on they share the news of the store.
-const SHARING_NODES: usize = 4;
+/// Plans that have failed before, each with its cause.
+const FAILED_PLANS: &str = include_str!("../soak-seeds.txt");
+/// Plans that run first; in the second, nodes relay store updates to each other.
+const FIXED_PLANS: &str = "2026 6\n2027 8 4";
+/// Default number of nodes in each failure domain.
+const DEFAULT_NODES: usize = 2;
+/// Number of nodes in a failure domain from which on they relay store updates to each other.
+const MIN_RELAY_NODES: usize = 4;
 
-/// Reads plans: a seed, seconds and, if it is not the usual one, the nodes of a failure domain.
-fn read_plans(text: &str) -> Vec<SoakPlan> {
+/// Parses plans, one a line: a seed, seconds and, optionally, the number of nodes in each failure domain.
+fn parse_plans(text: &str) -> Vec<SoakPlan> {
     let plans = text.lines().map(|line| line.split('#').next().unwrap_or_default().trim());
-    plans.filter(|plan| !plan.is_empty()).map(read_plan).collect()
+    plans.filter(|plan| !plan.is_empty()).map(parse_plan).collect()
 }
 
-fn read_plan(plan: &str) -> SoakPlan {
-    let words: Vec<u64> = plan.split_whitespace().map(|word| word.parse().expect("a number")).collect();
-    let [seed, seconds, nodes @ ..] = words.as_slice() else { panic!("no seed and seconds: {plan}") };
-    let nodes = nodes.first().map_or(NODES, |nodes| usize::try_from(*nodes).expect("few nodes"));
+fn parse_plan(plan: &str) -> SoakPlan {
+    let fields: Vec<u64> =
+        plan.split_whitespace().map(|word| word.parse().expect("plan field must be a number")).collect();
+    let [seed, seconds, nodes @ ..] = fields.as_slice() else { panic!("no seed and seconds: {plan}") };
+    let nodes =
+        nodes.first().map_or(DEFAULT_NODES, |nodes| usize::try_from(*nodes).expect("node count must fit a usize"));
     SoakPlan { seed: *seed, time: Duration::from_secs(*seconds), nodes }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promises_hold_under_overlapping_faults() {
-    let mut broken = Vec::new();
-    for plan in read_plans(SHORT).into_iter().chain(read_plans(KEPT)) {
-        let report = run(plan).await.expect("a fleet");
+    let mut violations = Vec::new();
+    for plan in parse_plans(FIXED_PLANS).into_iter().chain(parse_plans(FAILED_PLANS)) {
+        let report = run(plan).await.expect("fleet must start");
         println!("{report}");
         let requests: usize = report.outcomes.values().sum();
-        assert!(requests > 0 && report.faults > 0, "nothing was played: {report}");
+        assert!(requests > 0 && report.faults > 0, "no request was sent or no fault injected: {report}");
         assert!(report.links > 0 && report.delegated > 0, "nothing went through proxies between nodes: {report}");
-        assert!(plan.nodes < SHARING_NODES || report.relays > 0, "no node took news from another: {report}");
-        broken.extend(report.violations.iter().map(|violation| format!("seed {}: {violation}", plan.seed)));
+        assert!(
+            plan.nodes < MIN_RELAY_NODES || report.relays > 0,
+            "no node received store updates from another: {report}"
+        );
+        violations.extend(report.violations.iter().map(|violation| format!("seed {}: {violation}", plan.seed)));
     }
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
