--- a/crates/lab/src/proxy.rs
+++ b/crates/lab/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy that delays, cuts, half-cuts, resets and pauses connections.
+//! Fault-injecting TCP proxy: delays, refuses, breaks, truncates and pauses connections.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -14,37 +14,38 @@
 
 use streamfold_standin::dice;
 
-/// Chunks that may wait out their delay on one connection.
-const QUEUED_CHUNKS: usize = 4_096;
-/// What a caller that is turned away gets instead of its way.
-const TURNED_AWAY: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
-/// How often a paused direction looks whether it may go on.
-const PAUSE_LOOK: Duration = Duration::from_millis(5);
+/// Maximum number of delayed chunks queued on one connection in each direction.
+const MAX_QUEUED_CHUNKS: usize = 4_096;
+/// Answer that a rejected client gets instead of the target's.
+const REJECTION: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
+/// How often a paused direction checks whether the pause is over.
+const PAUSE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Faults of a proxy, in force on all its connections.
+/// Faults of a proxy, in effect on all its connections.
 #[derive(Default)]
 pub struct ProxyFaults {
-    /// Microseconds each chunk is held, each way.
+    /// Delay of each chunk in each direction, in microseconds.
     pub delay_us: AtomicU64,
-    /// New connections are closed at once.
+    /// Whether new connections are closed immediately.
     pub refuse_connections: AtomicBool,
-    /// New connections get a refusal of HTTP to their first bytes and are closed.
+    /// Whether new connections get an HTTP 503 answer to their first bytes and are closed.
     pub reject_requests: AtomicBool,
-    /// Bytes towards the server are held.
+    /// Whether bytes towards the server are held.
     pub pause_to_server: AtomicBool,
-    /// Bytes towards the client are held.
+    /// Whether bytes towards the client are held.
     pub pause_to_client: AtomicBool,
-    /// Bytes both ways are held.
+    /// Whether bytes in both directions are held.
     pub pause_both: AtomicBool,
-    /// Of a thousand chunks towards the client, after so many the connection breaks off midway.
+    /// Of a thousand chunks towards the client, the number that are cut off in the middle together
+    /// with their connection.
     pub reset_per_mille: AtomicU64,
-    /// Connections connections so far.
-    pub connections: AtomicU64,
+    /// Number of connections forwarded so far.
+    pub forwarded: AtomicU64,
     break_all: Notify,
 }
 
 impl ProxyFaults {
-    /// Breaks every open connection.
+    /// Closes every open connection.
     pub fn break_all(&self) {
         self.break_all.notify_waiters();
     }
@@ -54,9 +55,9 @@
 pub struct FaultProxy {
     /// Its switches.
     pub faults: Arc<ProxyFaults>,
-    /// Where it listens.
+    /// Address on which the proxy listens.
     pub address: SocketAddr,
-    /// Where it leads; may be set after the start.
+    /// Address to which connections are forwarded; may be changed after the start.
     pub target: Arc<Mutex<SocketAddr>>,
     task: JoinHandle<()>,
 }
@@ -89,46 +90,46 @@
             continue;
         }
         if faults.reject_requests.load(Ordering::Relaxed) {
-            connections.spawn(reject_requests(client));
+            connections.spawn(reject(client));
             continue;
         }
-        faults.connections.fetch_add(1, Ordering::Relaxed);
+        faults.forwarded.fetch_add(1, Ordering::Relaxed);
         let faults = faults.clone();
         let target = *target.lock().unwrap_or_else(PoisonError::into_inner);
         connections.spawn(async move {
             let Ok(server) = TcpStream::connect(target).await else { return };
-            // Sockets that refuse it work all the same.
+            // Errors are ignored: a socket without TCP_NODELAY still works.
             let _ = (client.set_nodelay(true), server.set_nodelay(true));
             let (client_read, client_write) = client.into_split();
             let (server_read, server_write) = server.into_split();
             tokio::select! {
                 () = faults.break_all.notified() => {}
-                () = carry(&faults, &faults.pause_to_server, None, client_read, server_write) => {}
-                () = carry(&faults, &faults.pause_to_client, Some(&faults.reset_per_mille), server_read, client_write) => {}
+                () = forward(&faults, &faults.pause_to_server, None, client_read, server_write) => {}
+                () = forward(&faults, &faults.pause_to_client, Some(&faults.reset_per_mille), server_read, client_write) => {}
             }
         });
     }
 }
 
-async fn reject_requests(mut client: TcpStream) {
-    let mut head = [0; 4 << 10];
-    // Read first: a connection closed over unread bytes is reset, and the refusal with it.
-    if client.read(&mut head).await.is_ok_and(|length| length > 0) {
-        // A caller that has left needs no refusal.
-        let _ = client.write_all(TURNED_AWAY).await;
+async fn reject(mut client: TcpStream) {
+    let mut buffer = [0; 4 << 10];
+    // Reads the request first: closing a socket with unread bytes resets the connection, and the client would
+    // lose the answer.
+    if client.read(&mut buffer).await.is_ok_and(|length| length > 0) {
+        // Errors are ignored: the client has closed the connection.
+        let _ = client.write_all(REJECTION).await;
     }
 }
 
-/// Carries one direction. Delayed chunks queue up one behind the other, so a delay costs no
-/// throughput.
-async fn carry(
+/// Forwards one direction. Delayed chunks are queued, so that a delay does not reduce the throughput.
+async fn forward(
     faults: &ProxyFaults,
     pause: &AtomicBool,
     resets: Option<&AtomicU64>,
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
 ) {
-    let (sender, mut queue) = mpsc::channel::<(Instant, Vec<u8>)>(QUEUED_CHUNKS);
+    let (sender, mut queue) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_QUEUED_CHUNKS);
     let read = async move {
         let mut chunk = vec![0; 16 << 10];
         while let Ok(length @ 1..) = from.read(&mut chunk).await {
@@ -142,17 +143,17 @@
         while let Some((due, chunk)) = queue.recv().await {
             tokio::time::sleep_until(due).await;
             while pause.load(Ordering::Relaxed) || faults.pause_both.load(Ordering::Relaxed) {
-                tokio::time::sleep(PAUSE_LOOK).await;
+                tokio::time::sleep(PAUSE_CHECK_INTERVAL).await;
             }
-            let breaks = resets.is_some_and(|resets| dice::chance(resets.load(Ordering::Relaxed)));
-            let part = if breaks { &chunk[..chunk.len() / 2] } else { &chunk[..] };
-            if to.write_all(part).await.is_err() || breaks {
+            let is_cut_off = resets.is_some_and(|resets| dice::chance(resets.load(Ordering::Relaxed)));
+            let part = if is_cut_off { &chunk[..chunk.len() / 2] } else { &chunk[..] };
+            if to.write_all(part).await.is_err() || is_cut_off {
                 return;
             }
         }
     };
     tokio::pin!(read, write);
-    // The reader's end lets what is queued go out; the writer's end is the connection's.
+    // When reading ends, the queued chunks are still written; when writing ends, the connection ends.
     tokio::select! {
         () = &mut write => {}
         () = &mut read => write.await,
--- a/crates/lab/src/route_fleet.rs
+++ b/crates/lab/src/route_fleet.rs
@@ -1,5 +1,6 @@
-//! Routers as real processes on loopback: a platform's store, servers registered in it, the
-//! operator's document, and `streamfoldd` with the settings file of a deployment.
+//! Fleet of routers as real processes on loopback: a stand-in for the platform's store, servers
+//! registered in it, the operator's document, and `streamfoldd` with the settings file of a
+//! deployment.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -23,43 +24,43 @@
 use crate::client::{CallAnswer, CallError, LabClient};
 use crate::fleet::find_binary;
 
-/// The failure domains of a fleet.
+/// Failure domains of a fleet.
 pub const DOMAINS: [&str; 2] = ["zone-a", "zone-b"];
-/// Their regions.
+/// Regions of the failure domains, in the same order.
 pub const REGIONS: [&str; 2] = ["north", "south"];
-/// The settings of a deployment, with gaps.
+/// Settings file of a deployment, with placeholders.
 const SETTINGS: &str = include_str!("../../../deploy/settings.yaml");
-/// How long a fleet may take to be ready.
+/// How long a fleet may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often readiness is looked at.
-const READY_LOOK: Duration = Duration::from_millis(20);
-/// How long one call of the fleet itself may take.
+/// How often readiness is polled.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of one request sent by the fleet itself.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Extra calls allowed for each service and window: enough for any test.
-const ALLOWANCE: u32 = 1_000;
-/// The first of a node's four ports.
-const FIRST_PORTS: std::ops::Range<u16> = 10_000..30_000;
-/// Nodes that the settings of a node that starts again name.
-const SEEDS: usize = 3;
-/// The share of a core that a node has if a plan says nothing else.
+/// Extra calls (retries and hedges) allowed for each service and window: enough for any test.
+const EXTRA_CALL_ALLOWANCE: u32 = 1_000;
+/// Range of the first of a node's four consecutive ports.
+const FIRST_PORT_RANGE: std::ops::Range<u16> = 10_000..30_000;
+/// Number of seed nodes in the settings of a restarted node.
+const MAX_RESTART_SEEDS: usize = 3;
+/// Default share of a core of a node, in cores.
 pub const WHOLE_CORE: f64 = 1.0;
-/// Seconds between asking a node to stop and killing it.
+/// Grace period in seconds between asking a node to stop and killing it.
 const GRACE_SECONDS: u32 = 6;
 
-/// Why a fleet did not come up.
+/// Why a fleet could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum RouteFleetError {
     /// A stand-in could not listen, or a process could not be started.
     #[error("starting {what}: {source}")]
     Io {
-        /// What was being started.
+        /// The part that could not be started.
         what: &'static str,
-        /// What the system said.
+        /// Error of the system.
         source: std::io::Error,
     },
-    /// A gap of the settings is not known here.
-    #[error("settings have a gap that nobody fills: {0}")]
-    Gap(String),
+    /// The settings file has an unknown placeholder.
+    #[error("settings have an unknown placeholder: {0}")]
+    UnknownPlaceholder(String),
     /// A node did not become ready.
     #[error("node {0} was not ready within {READY_TIMEOUT:?}")]
     NotReady(String),
@@ -68,39 +69,39 @@
     Ended(String),
 }
 
-/// How a fleet is made.
+/// Configuration of a fleet.
 #[derive(Debug, Clone, Default)]
 pub struct RouteFleetPlan {
-    /// Nodes of each failure domain.
+    /// Number of nodes in each failure domain.
     pub nodes: [usize; 2],
-    /// Its servers.
+    /// Servers.
     pub servers: Vec<RouteServerPlan>,
-    /// Its routes; without any the operator has written nothing yet.
+    /// Routes; if empty, the operator has not written a document yet.
     pub routes: Vec<Value>,
-    /// The teams that may call; without any callers need no key.
+    /// Teams that may call; if empty, callers need no key.
     pub teams: Vec<Value>,
-    /// Whether keys lose their force while the store is away.
+    /// Whether keys become invalid while the store is unreachable.
     pub are_keys_strict: bool,
-    /// Lines added to the settings of each node.
+    /// Lines that are appended to the settings of each node.
     pub settings: &'static str,
-    /// The shares of a core of nodes by their names; others have a whole one.
+    /// Shares of a core by node name; other nodes have `WHOLE_CORE`.
     pub cpu_shares: HashMap<&'static str, f64>,
 }
 
-/// The ports of a node.
+/// Addresses of a node's ports.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteAddresses {
-    /// Where callers connect.
+    /// Port for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks.
+    /// Port for the load balancer's readiness probe.
     pub ready: SocketAddr,
-    /// Where other nodes connect.
+    /// Port for other nodes.
     pub peers: SocketAddr,
-    /// Where counters are served.
+    /// Port for metrics.
     pub metrics: SocketAddr,
 }
 
-/// What a node wrote to its log.
+/// Lines that a node wrote to its log.
 pub type NodeLog = Arc<Mutex<Vec<String>>>;
 
 /// One node of a fleet.
@@ -116,12 +117,12 @@
 }
 
 impl RouteNode {
-    /// Reads no more of its log, so that its standard output fills up.
+    /// Stops reading the node's log, so that the pipe of its standard output fills up.
     pub fn stop_reading_log(&self) {
         self.is_log_read.store(false, Ordering::Relaxed);
     }
 
-    /// Lines of its log that hold all of some texts.
+    /// Lines of the node's log that contain all the given texts.
     pub fn logged(&self, texts: &[&str]) -> Vec<String> {
         let lines = lock(&self.log);
         lines.iter().filter(|line| texts.iter().all(|text| line.contains(text))).cloned().collect()
@@ -130,18 +131,18 @@
 
 /// A running fleet.
 pub struct RouteFleet {
-    /// The platform's store.
+    /// Stand-in for the platform's store.
     pub platform: PlatformStandin,
-    /// Its servers, in the order of the plan.
+    /// Servers, in the order of the plan.
     pub servers: Vec<RouteServer>,
-    /// Its nodes, those of the first failure domain first.
+    /// Nodes, those of the first failure domain first.
     pub nodes: Vec<RouteNode>,
-    /// A client to call it with.
+    /// Client for requests to the fleet.
     pub client: LabClient,
     settings: &'static str,
     cpu_shares: HashMap<&'static str, f64>,
     are_keys_strict: bool,
-    /// Each writes the entries of a server that crashes.
+    /// Tasks that each rewrite the entry of one server when it restarts after a crash.
     registrars: JoinSet<()>,
 }
 
@@ -154,10 +155,10 @@
 }
 
 impl RouteFleet {
-    /// Starts everything and waits until it is ready.
+    /// Starts all parts of the fleet and waits until every node is ready.
     ///
     /// # Errors
-    /// Something did not come up.
+    /// A part could not be started, or a node did not become ready.
     pub async fn start(plan: RouteFleetPlan) -> Result<Self, RouteFleetError> {
         let has_routes = !plan.routes.is_empty();
         let platform = platform::start(any_port()).await.map_err(io("the platform"))?;
@@ -189,12 +190,12 @@
                 fleet.add_node(domain, &format!("{}-{number}", DOMAINS[domain])).await?;
             }
         }
-        let wanted = if has_routes { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        fleet.wait_ready(wanted).await?;
+        let expected = if has_routes { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+        fleet.wait_ready(expected).await?;
         Ok(fleet)
     }
 
-    /// Writes a server's entry in a state.
+    /// Writes a server's entry with the given state.
     pub fn register(&self, position: usize, state: &str) {
         let server = &self.servers[position];
         self.platform.state.put_object(documents::SERVERS, &server.state.plan.id, server.entry(state));
@@ -216,7 +217,7 @@
         self.platform.state.put_object(documents::CONFIG, documents::CONFIG_NAME, document);
     }
 
-    /// Evacuates a failure domain, or gives it back.
+    /// Evacuates a failure domain, or ends its evacuation.
     pub fn evacuate(&self, domain: usize, is_evacuated: bool) {
         let state = &self.platform.state;
         match is_evacuated {
@@ -225,18 +226,18 @@
         }
     }
 
-    /// Requests that servers of a failure domain have read.
+    /// Counts the requests that servers of a failure domain have read.
     pub fn count_domain_calls(&self, domain: usize) -> usize {
-        let there = self.servers.iter().filter(|server| server.state.plan.domain == DOMAINS[domain]);
-        there.map(|server| server.state.calls().len()).sum()
+        let in_domain = self.servers.iter().filter(|server| server.state.plan.domain == DOMAINS[domain]);
+        in_domain.map(|server| server.state.calls().len()).sum()
     }
 
-    /// Starts one more node; it may not be ready yet.
+    /// Starts another node without waiting until it is ready.
     ///
     /// # Errors
-    /// Its process cannot be started.
+    /// The node's process cannot be started.
     pub async fn add_node(&mut self, domain: usize, name: &str) -> Result<(), RouteFleetError> {
-        let addresses = find_ports();
+        let addresses = choose_ports();
         let seeds: Vec<String> = self.nodes.iter().map(|node| node.addresses.peers.to_string()).collect();
         let cpu_share = self.cpu_shares.get(name).copied().unwrap_or(WHOLE_CORE);
         let mut text = write_settings(name, domain, &addresses, self.platform.address, &seeds, cpu_share)?;
@@ -250,21 +251,22 @@
         Ok(())
     }
 
-    /// Kills all nodes and starts them again where they were; they may not be ready yet. Their seeds are the first
-    /// three then.
+    /// Kills all nodes and restarts them on the same ports, with the first three nodes as seeds, without
+    /// waiting until they are ready.
     ///
     /// # Errors
     /// A process cannot be started.
     pub async fn restart_all(&mut self) -> Result<(), RouteFleetError> {
-        let seeds: Vec<String> = self.nodes.iter().take(SEEDS).map(|node| node.addresses.peers.to_string()).collect();
+        let seeds: Vec<String> =
+            self.nodes.iter().take(MAX_RESTART_SEEDS).map(|node| node.addresses.peers.to_string()).collect();
         for node in &mut self.nodes {
             node.process.kill().await.map_err(io("killing a process"))?;
         }
         let platform = self.platform.address;
         for node in &mut self.nodes {
             let domain = DOMAINS.iter().position(|domain| node.name.starts_with(domain)).unwrap_or_default();
-            let share = self.cpu_shares.get(node.name.as_str()).copied().unwrap_or(WHOLE_CORE);
-            let text = write_settings(&node.name, domain, &node.addresses, platform, &seeds, share)?;
+            let cpu_share = self.cpu_shares.get(node.name.as_str()).copied().unwrap_or(WHOLE_CORE);
+            let text = write_settings(&node.name, domain, &node.addresses, platform, &seeds, cpu_share)?;
             let text = text.replace("first_start: true", "first_start: false") + self.settings;
             let is_log_read = Arc::new(AtomicBool::new(true));
             let (process, log) = start_process(&node.name, &text, is_log_read.clone()).await?;
@@ -273,14 +275,14 @@
         Ok(())
     }
 
-    /// Waits until every node answers the balancer with a status.
+    /// Waits until every node answers the load balancer's readiness probe with the given status.
     ///
     /// # Errors
-    /// That did not happen in time, or a process ended.
-    pub async fn wait_ready(&mut self, wanted: StatusCode) -> Result<(), RouteFleetError> {
+    /// A node did not answer so in time, or its process ended.
+    pub async fn wait_ready(&mut self, expected: StatusCode) -> Result<(), RouteFleetError> {
         let start = Instant::now();
         for position in 0..self.nodes.len() {
-            while self.ready_status(position).await != Some(wanted) {
+            while self.ready_status(position).await != Some(expected) {
                 let node = &mut self.nodes[position];
                 if node.process.try_wait().map_err(io("a process"))?.is_some() {
                     return Err(RouteFleetError::Ended(node.name.clone()));
@@ -288,23 +290,23 @@
                 if start.elapsed() > READY_TIMEOUT {
                     return Err(RouteFleetError::NotReady(node.name.clone()));
                 }
-                tokio::time::sleep(READY_LOOK).await;
+                tokio::time::sleep(READY_POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// What a node answers to the balancer; `None` if it cannot be reached.
+    /// Status of a node's answer to the load balancer's readiness probe; `None` if it cannot be reached.
     pub async fn ready_status(&self, position: usize) -> Option<StatusCode> {
         let address = self.nodes[position].addresses.ready;
         let answer = self.client.call(Method::GET, address, "/ready", &[], Bytes::new(), CALL_TIMEOUT).await;
         answer.ok().map(|answer| answer.status)
     }
 
-    /// Makes a caller's request through a node.
+    /// Sends a caller's request to a node.
     ///
     /// # Errors
-    /// There was no whole answer in time.
+    /// There was no complete answer in time.
     pub async fn call(
         &self,
         node: usize,
@@ -316,43 +318,43 @@
         self.call_with(node, method, path, id, &[], body).await
     }
 
-    /// The same, with some headers more.
+    /// Sends a caller's request to a node, with additional headers.
     ///
     /// # Errors
-    /// There was no whole answer in time.
+    /// There was no complete answer in time.
     pub async fn call_with(
         &self,
         node: usize,
         method: Method,
         path: &str,
         id: &str,
-        more: &[(&'static str, &str)],
+        extra_headers: &[(&'static str, &str)],
         body: Bytes,
     ) -> Result<CallAnswer, CallError> {
         let mut headers = vec![("host", HOST), (names::REQUEST_ID, id), (names::DEADLINE_MS, "8000")];
-        headers.extend_from_slice(more);
+        headers.extend_from_slice(extra_headers);
         self.client.call(method, self.nodes[node].addresses.callers, path, &headers, body, CALL_TIMEOUT).await
     }
 
-    /// How often all servers together have read a request.
+    /// Number of times that servers have read a request, summed over all servers.
     pub fn count_calls(&self, id: &str) -> usize {
         self.servers.iter().flat_map(|server| server.state.calls()).filter(|call| call.id() == id).count()
     }
 
-    /// How often all servers together ran a request.
+    /// Number of times that servers have run a request, summed over all servers.
     pub fn count_runs(&self, id: &str) -> usize {
         self.servers.iter().flat_map(|server| server.state.runs()).filter(|run| run.request.id() == id).count()
     }
 
-    /// The service of the server that made a proof for a request.
+    /// Service of the server that issued a proof for a request.
     pub fn find_service_by_proof(&self, id: &str, proof: &str) -> Option<&str> {
-        let made =
+        let issued_proof =
             |server: &&RouteServer| server.state.runs().iter().any(|run| run.proof == proof && run.request.id() == id);
-        self.servers.iter().find(made).map(|server| server.state.plan.service.as_str())
+        self.servers.iter().find(issued_proof).map(|server| server.state.plan.service.as_str())
     }
 }
 
-/// Writes a server's entry anew whenever its process has started again: another run has another id.
+/// Replaces a server's entry whenever its process has restarted, since each run has another id.
 async fn register_restarts(platform: Arc<PlatformState>, server: Arc<RouteServerState>, address: SocketAddr) {
     let mut restarts = server.restarts.subscribe();
     let mut last = server.id();
@@ -370,17 +372,17 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// Ports on a loopback address of the node's own, below those that the system gives out. They are not
-/// tried first: a process that another test starts at that moment would hold the tried port until it
-/// runs its own program, and the node could not listen on it.
-pub(crate) fn find_ports() -> RouteAddresses {
+/// Chooses ports on a loopback address of the node's own, below the ephemeral range of the system. The
+/// ports are not tested by binding them: a process that another test forks at that moment would inherit
+/// the test socket and hold the port until it executes its own program, and the node could not listen on it.
+pub(crate) fn choose_ports() -> RouteAddresses {
     let address = Ipv4Addr::new(127, rand::random_range(1..=254), rand::random(), rand::random_range(1..=254));
-    let first: u16 = rand::random_range(FIRST_PORTS);
+    let first: u16 = rand::random_range(FIRST_PORT_RANGE);
     let port = |number: u16| SocketAddr::from((address, first + number));
     RouteAddresses { callers: port(0), ready: port(1), peers: port(2), metrics: port(3) }
 }
 
-/// The settings of a deployment with their gaps filled.
+/// Fills the placeholders of the settings of a deployment.
 pub(crate) fn write_settings(
     name: &str,
     domain: usize,
@@ -389,7 +391,7 @@
     seeds: &[String],
     cpu_share: f64,
 ) -> Result<String, RouteFleetError> {
-    let gaps = SettingsGaps {
+    let placeholders = SettingsGaps {
         name,
         domain: DOMAINS[domain],
         regions: DOMAINS.into_iter().zip(REGIONS).collect(),
@@ -402,10 +404,10 @@
         grace_seconds: GRACE_SECONDS,
         cpu_share,
         extra_ratio: 0.1,
-        extra_allowance: ALLOWANCE,
+        extra_allowance: EXTRA_CALL_ALLOWANCE,
         are_keys_strict: false,
     };
-    gaps.fill(SETTINGS).map_err(RouteFleetError::Gap)
+    placeholders.fill(SETTINGS).map_err(RouteFleetError::UnknownPlaceholder)
 }
 
 async fn start_process(name: &str, text: &str, is_read: Arc<AtomicBool>) -> Result<(Child, NodeLog), RouteFleetError> {
@@ -418,15 +420,15 @@
     let stdout = process.stdout.take().ok_or_else(|| RouteFleetError::Ended(name.to_owned()))?;
     let log = NodeLog::default();
     let (started, has_started) = tokio::sync::oneshot::channel();
-    tokio::spawn(keep_log(stdout, log.clone(), started, is_read));
+    tokio::spawn(collect_log(stdout, log.clone(), started, is_read));
     let is_started = has_started.await.is_ok();
-    // The settings were read before the node said so.
+    // The node logs that it has started only after it has read the settings.
     let _ = std::fs::remove_file(&path);
     if is_started { Ok((process, log)) } else { Err(RouteFleetError::Ended(name.to_owned())) }
 }
 
-/// Keeps a node's log and tells when it has started.
-async fn keep_log(
+/// Collects a node's log and signals when the node has started.
+async fn collect_log(
     stdout: ChildStdout,
     log: NodeLog,
     started: tokio::sync::oneshot::Sender<()>,
@@ -438,12 +440,12 @@
         if line.contains("event=started")
             && let Some(started) = started.take()
         {
-            // Nobody waits any more where the fleet was given up.
+            // Errors are ignored: the start of the fleet was aborted and nothing waits any more.
             let _ = started.send(());
         }
         lock(&log).push(line);
         while !is_read.load(Ordering::Relaxed) {
-            tokio::time::sleep(READY_LOOK).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/lab/src/server.rs
+++ b/crates/lab/src/server.rs
@@ -1,5 +1,5 @@
-//! Stand-in for one server of an upstream: shards, slots, a queue, a connection limit,
-//! latencies, index versions, draining and shedding. It logs what it ran.
+//! Stand-in for one server of an upstream, with shards, slots, a queue, a connection limit,
+//! latencies, index versions, draining and load shedding. It records the requests that it ran.
 
 use std::collections::{HashMap, HashSet};
 use std::convert::Infallible;
@@ -27,23 +27,23 @@
 
 use streamfold_standin::dice;
 
-/// Shards one call may name.
+/// Maximum number of shards in one call.
 const MAX_SHARDS: usize = 65_536;
 
-/// How a server is made.
+/// Configuration of a server.
 #[derive(Debug, Clone)]
 pub struct ServerPlan {
-    /// Calls run at once.
+    /// Maximum number of calls that run concurrently.
     pub slots: usize,
-    /// Calls that may wait for a slot; more are shed.
+    /// Maximum number of calls that wait for a slot; further calls are shed.
     pub queue: usize,
-    /// Connections accepted; more are closed.
+    /// Maximum number of open connections; further ones are closed.
     pub connections: usize,
-    /// Time until a new connection is served.
+    /// Delay before a new connection is served.
     pub connect_delay: Duration,
-    /// Typical time of one call; none for an answer at once.
+    /// Typical duration of one call; zero for an immediate answer.
     pub base: Duration,
-    /// Index versions held at most.
+    /// Maximum number of index versions that the server holds.
     pub max_versions: u64,
 }
 
@@ -60,92 +60,92 @@
     }
 }
 
-/// Switches of one server, all in force at once when set.
+/// Fault switches of one server; they take effect immediately and may be combined.
 #[derive(Debug)]
 pub struct ServerSwitches {
-    /// Of a thousand calls, so many take `straggle_factor` times as long.
+    /// Of a thousand calls, the number that take `straggle_factor` times as long.
     pub straggle_per_mille: AtomicU64,
-    /// See `straggle`.
+    /// See `straggle_per_mille`.
     pub straggle_factor: AtomicU64,
-    /// Every call takes this many times as long.
+    /// Factor on the duration of every call.
     pub slow_factor: AtomicU64,
-    /// Of a thousand calls, so many are shed.
+    /// Of a thousand calls, the number that are shed.
     pub shed_per_mille: AtomicU64,
-    /// It is leaving.
+    /// Whether the server is draining.
     pub draining: AtomicBool,
-    /// Its health endpoint and load report say all is well, whatever is true.
+    /// Whether the health endpoint and the load report show a healthy, idle server whatever its real state.
     pub is_health_faked: AtomicBool,
-    /// Of a thousand answers, so many are an earlier request's, whole.
+    /// Of a thousand answers, the number that are replaced by the complete answer to an earlier request.
     pub crossed_per_mille: AtomicU64,
-    /// Newest index version held.
+    /// Newest index version that the server holds.
     pub newest: AtomicU64,
 }
 
-/// What a server has done.
+/// Counters of a server.
 #[derive(Debug, Default)]
 pub struct ServerCounts {
-    /// Calls that came in.
+    /// Calls received.
     pub calls: AtomicU64,
-    /// Calls that ran.
+    /// Calls run.
     pub runs: AtomicU64,
     /// Calls shed.
     pub sheds: AtomicU64,
-    /// Calls that came in while leaving.
+    /// Calls received while draining.
     pub calls_while_draining: AtomicU64,
-    /// The most connections open at once.
+    /// Maximum number of connections that were open concurrently.
     pub max_open_connections: AtomicUsize,
-    /// Connections closed for being over the limit.
+    /// Connections closed because they exceeded the limit.
     pub refused_connections: AtomicU64,
 }
 
-/// What all servers of a lab ran: orders by idempotency key and, where asked to, requests.
+/// What all servers of a lab ran: orders by idempotency key and, if enabled, request ids.
 #[derive(Debug, Default)]
 pub struct RunLog {
     runs: Mutex<HashMap<String, u64>>,
     requests: Mutex<HashSet<String>>,
-    has_request_recording: AtomicBool,
+    is_recording_requests: AtomicBool,
 }
 
 impl RunLog {
-    fn note(&self, key: &str) {
+    fn record_order(&self, key: &str) {
         let mut runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
         *runs.entry(key.to_owned()).or_default() += 1;
     }
 
-    /// Keeps the ids of all requests run from now on.
+    /// Records the ids of all requests run from now on.
     pub fn record_requests(&self) {
-        self.has_request_recording.store(true, Ordering::Relaxed);
+        self.is_recording_requests.store(true, Ordering::Relaxed);
     }
 
-    fn note_request(&self, request: &str) {
-        if self.has_request_recording.load(Ordering::Relaxed) {
+    fn record_request(&self, request: &str) {
+        if self.is_recording_requests.load(Ordering::Relaxed) {
             self.requests.lock().unwrap_or_else(PoisonError::into_inner).insert(request.to_owned());
         }
     }
 
-    /// Whether a request ran at any server.
+    /// Whether a request ran on any server.
     pub fn has_run(&self, request: &str) -> bool {
         self.requests.lock().unwrap_or_else(PoisonError::into_inner).contains(request)
     }
 
-    /// How often an order with this key ran.
+    /// Number of runs of the order with this key.
     pub fn count(&self, key: &str) -> u64 {
         self.runs.lock().unwrap_or_else(PoisonError::into_inner).get(key).copied().unwrap_or(0)
     }
 
-    /// Keys that ran more than once.
+    /// Number of keys whose order ran more than once.
     pub fn count_duplicates(&self) -> usize {
         self.runs.lock().unwrap_or_else(PoisonError::into_inner).values().filter(|count| **count > 1).count()
     }
 }
 
-/// A server's state.
+/// State of a server.
 pub struct ServerState {
-    /// How it was made.
+    /// Configuration.
     pub plan: ServerPlan,
-    /// Its switches.
+    /// Fault switches.
     pub switches: ServerSwitches,
-    /// Its counters.
+    /// Counters.
     pub counts: ServerCounts,
     index: IndexName,
     incarnation: u64,
@@ -153,14 +153,14 @@
     waiting: AtomicUsize,
     connections: AtomicUsize,
     log: Arc<RunLog>,
-    last: Mutex<Option<(String, u64, Bytes)>>,
+    last_answer: Mutex<Option<(String, u64, Bytes)>>,
 }
 
-/// A running stand-in. Dropping it kills it, connections and all.
+/// A running stand-in. Dropping it stops it and closes all its connections.
 pub struct ServerStandin {
-    /// Its state and switches.
+    /// State and fault switches.
     pub state: Arc<ServerState>,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     task: JoinHandle<()>,
 }
@@ -171,7 +171,7 @@
     }
 }
 
-/// Starts a server that holds every shard it is asked for of one index.
+/// Starts a server of one index that holds every shard that calls name.
 ///
 /// # Errors
 /// The port cannot be opened.
@@ -206,7 +206,7 @@
         waiting: AtomicUsize::new(0),
         connections: AtomicUsize::new(0),
         log,
-        last: Mutex::new(None),
+        last_answer: Mutex::new(None),
     });
     let task = tokio::spawn(accept(state.clone(), listener));
     Ok(ServerStandin { state, address, task })
@@ -227,12 +227,12 @@
         let state = state.clone();
         connections.spawn(async move {
             tokio::time::sleep(state.plan.connect_delay).await;
-            // A socket that refuses it works all the same.
+            // Errors are ignored: a socket without TCP_NODELAY still works.
             let _ = stream.set_nodelay(true);
             let service = service_fn(|request| answer(state.clone(), request));
             let mut builder = Builder::new(TokioExecutor::new());
             builder.http2().max_concurrent_streams(10_000);
-            // Its end, however it comes, is the other side's to notice.
+            // Errors are ignored: the client notices them when the connection ends.
             let _ = builder.serve_connection(TokioIo::new(stream), service).await;
             state.connections.fetch_sub(1, Ordering::Relaxed);
         });
@@ -246,16 +246,16 @@
     let (parts, body) = request.into_parts();
     let body = body.collect().await.map(http_body_util::Collected::to_bytes).unwrap_or_default();
     if is_health {
-        return Ok(health(&state));
+        return Ok(health_response(&state));
     }
     let is_order = parts.uri.path().ends_with("/order");
     Ok(state.run(&parts.headers, &body, is_order).await)
 }
 
-fn health(state: &ServerState) -> Response<Full<Bytes>> {
-    let lies = state.switches.is_health_faked.load(Ordering::Relaxed);
-    let draining = state.switches.draining.load(Ordering::Relaxed) && !lies;
-    let (oldest, newest) = state.held();
+fn health_response(state: &ServerState) -> Response<Full<Bytes>> {
+    let is_health_faked = state.switches.is_health_faked.load(Ordering::Relaxed);
+    let draining = state.switches.draining.load(Ordering::Relaxed) && !is_health_faked;
+    let (oldest, newest) = state.version_range();
     let (index, load, incarnation) = (&state.index, state.load(), state.incarnation);
     let body = format!(
         "{{\"draining\":{draining},\"load\":{load:.2},\"incarnation\":{incarnation},\
@@ -264,7 +264,7 @@
     Response::new(Full::from(body))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
@@ -273,7 +273,7 @@
 }
 
 impl ServerState {
-    fn held(&self) -> (u64, u64) {
+    fn version_range(&self) -> (u64, u64) {
         let newest = self.switches.newest.load(Ordering::Relaxed);
         (newest.saturating_sub(self.plan.max_versions - 1).max(1), newest)
     }
@@ -287,7 +287,7 @@
     }
 
     fn response(&self, status: StatusCode, attempt: &str, body: Bytes) -> Response<Full<Bytes>> {
-        let (oldest, newest) = self.held();
+        let (oldest, newest) = self.version_range();
         let builder = Response::builder()
             .status(status)
             .header(SERVER_HEADER_ATTEMPT, attempt)
@@ -306,44 +306,45 @@
 
     async fn run(&self, headers: &HeaderMap, body: &Bytes, is_order: bool) -> Response<Full<Bytes>> {
         self.counts.calls.fetch_add(1, Ordering::Relaxed);
-        let attempt = text(headers, SERVER_HEADER_ATTEMPT).unwrap_or_default();
-        let shards = text(headers, SERVER_HEADER_SHARDS).and_then(|shards| parse_shards(shards, MAX_SHARDS));
+        let attempt = header_text(headers, SERVER_HEADER_ATTEMPT).unwrap_or_default();
+        let shards = header_text(headers, SERVER_HEADER_SHARDS).and_then(|shards| parse_shards(shards, MAX_SHARDS));
         let Some(shards) = shards else { return self.refuse(StatusCode::BAD_REQUEST, attempt) };
         if self.switches.draining.load(Ordering::Relaxed) {
             self.counts.calls_while_draining.fetch_add(1, Ordering::Relaxed);
         }
-        let (oldest, newest) = self.held();
-        let version = text(headers, SERVER_HEADER_VERSION).and_then(|version| version.parse().ok()).unwrap_or(newest);
+        let (oldest, newest) = self.version_range();
+        let version =
+            header_text(headers, SERVER_HEADER_VERSION).and_then(|version| version.parse().ok()).unwrap_or(newest);
         if version < oldest || version > newest {
             return self.refuse(StatusCode::CONFLICT, attempt);
         }
         let waiting = self.waiting.fetch_add(1, Ordering::Relaxed);
-        let permit = WaitingGuard(&self.waiting);
+        let waiting_guard = WaitingGuard(&self.waiting);
         if chance(&self.switches.shed_per_mille) || waiting >= self.plan.slots + self.plan.queue {
             self.counts.sheds.fetch_add(1, Ordering::Relaxed);
             return self.refuse(StatusCode::SERVICE_UNAVAILABLE, attempt);
         }
         let slot = self.slots.acquire().await;
         self.counts.runs.fetch_add(1, Ordering::Relaxed);
-        self.log.note_request(text(headers, SERVER_HEADER_REQUEST).unwrap_or_default());
-        if is_order && let Some(key) = text(headers, SERVER_HEADER_KEY) {
-            self.log.note(key);
+        self.log.record_request(header_text(headers, SERVER_HEADER_REQUEST).unwrap_or_default());
+        if is_order && let Some(key) = header_text(headers, SERVER_HEADER_KEY) {
+            self.log.record_order(key);
         }
-        self.work().await;
-        drop((slot, permit));
-        let request = text(headers, SERVER_HEADER_REQUEST).unwrap_or_default();
-        let own = (attempt.to_owned(), version, Bytes::from(results(&shards, version, request, body)));
-        let earlier = self.last.lock().unwrap_or_else(PoisonError::into_inner).replace(own.clone());
-        let (attempt, version, body) = match earlier {
-            Some(earlier) if chance(&self.switches.crossed_per_mille) => earlier,
-            _ => own,
+        self.simulate_work().await;
+        drop((slot, waiting_guard));
+        let request = header_text(headers, SERVER_HEADER_REQUEST).unwrap_or_default();
+        let current = (attempt.to_owned(), version, Bytes::from(format_results(&shards, version, request, body)));
+        let previous = self.last_answer.lock().unwrap_or_else(PoisonError::into_inner).replace(current.clone());
+        let (attempt, version, body) = match previous {
+            Some(previous) if chance(&self.switches.crossed_per_mille) => previous,
+            _ => current,
         };
         let mut response = self.response(StatusCode::OK, &attempt, body);
         response.headers_mut().insert(SERVER_HEADER_VERSION, http::HeaderValue::from(version));
         response
     }
 
-    async fn work(&self) {
+    async fn simulate_work(&self) {
         if self.plan.base.is_zero() {
             return;
         }
@@ -364,8 +365,8 @@
     }
 }
 
-/// Results that name their shard, version and request, so that a checker can tell whose they are.
-fn results(shards: &[ShardId], version: u64, request: &str, body: &Bytes) -> String {
+/// Results that contain their shard, version and request, so that a check can tell to which request they belong.
+fn format_results(shards: &[ShardId], version: u64, request: &str, body: &Bytes) -> String {
     use std::fmt::Write;
     let size = body.len();
     let mut text = String::from("{");
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -132,7 +132,7 @@
         outcomes,
         routed,
         skipped,
-        links: fleet.nodes.iter().map(|node| node.links.faults.connections.load(Ordering::Relaxed)).sum(),
+        links: fleet.nodes.iter().map(|node| node.links.faults.forwarded.load(Ordering::Relaxed)).sum(),
         delegated: fleet.count_logged(&[" event=request ", " peers="]),
         relays: fleet.count_logged(&[" event=reader_followed "]),
         faults: fleet.faults.load(Ordering::Relaxed),
--- a/crates/lab/src/soak_faults.rs
+++ b/crates/lab/src/soak_faults.rs
@@ -347,10 +347,10 @@
             Ok(()) => match fleet.wait_ready(node).await {
                 Ok(true) => break,
                 Ok(false) => {
-                    fleet.note_violation(ViolationKind::NotBack, &request, "not ready after the start".to_owned())
+                    fleet.note_violation(ViolationKind::NotBack, &request, "not ready after the start".to_owned());
                 }
                 Err(status) => {
-                    fleet.note_violation(ViolationKind::Ended, &request, format!("exited while starting: {status:?}"))
+                    fleet.note_violation(ViolationKind::Ended, &request, format!("exited while starting: {status:?}"));
                 }
             },
             Err(error) => fleet.note_violation(ViolationKind::NotBack, &request, error.to_string()),
--- a/crates/lab/src/soak_fleet.rs
+++ b/crates/lab/src/soak_fleet.rs
@@ -22,7 +22,9 @@
 use crate::client::LabClient;
 use crate::fleet::{find_binary, send_signal};
 use crate::proxy::{self, FaultProxy};
-use crate::route_fleet::{DOMAINS, RouteAddresses, RouteFleetError, WHOLE_CORE, any_port, find_ports, write_settings};
+use crate::route_fleet::{
+    DOMAINS, RouteAddresses, RouteFleetError, WHOLE_CORE, any_port, choose_ports, write_settings,
+};
 use crate::soak_audit::{DisturbanceKind, DisturbanceLog, Violation, ViolationKind, WrittenVersion};
 
 /// Number of services between which successive versions of the document rotate (colours).
@@ -200,7 +202,7 @@
         let positions: Vec<(usize, usize)> = (0..2).flat_map(|domain| (0..count).map(move |n| (domain, n))).collect();
         let mut ports = Vec::new();
         for _ in &positions {
-            ports.push(find_ports());
+            ports.push(choose_ports());
         }
         let mut links = Vec::new();
         for ports in &ports {
