--- a/crates/lab/src/experiments/crossed.rs
+++ b/crates/lab/src/experiments/crossed.rs
@@ -38,12 +38,12 @@
     plan.has_proxies = true;
     let fleet = Fleet::start(plan).await?;
     for server in fleet.all_servers() {
-        server.state.switches.crossed.store(CROSSED_PER_MILLE, Ordering::Relaxed);
+        server.state.switches.crossed_per_mille.store(CROSSED_PER_MILLE, Ordering::Relaxed);
     }
     let node_proxies = fleet.nodes.iter().filter_map(|node: &FleetNode| node.proxy.as_ref());
     let all: Vec<_> = fleet.proxies.iter().chain(node_proxies).map(|proxy| proxy.faults.clone()).collect();
     for faults in &all {
-        faults.resets.store(RESETS_PER_MILLE, Ordering::Relaxed);
+        faults.reset_per_mille.store(RESETS_PER_MILLE, Ordering::Relaxed);
         faults.delay_us.store(DELAY_US, Ordering::Relaxed);
     }
     let breaking = tokio::spawn(break_connections(all));
--- a/crates/lab/src/experiments/drain.rs
+++ b/crates/lab/src/experiments/drain.rs
@@ -33,14 +33,14 @@
     let running = tokio::spawn(async move { load::run(&client, &plan).await });
     tokio::time::sleep(Duration::from_millis(500)).await;
     for server in draining_servers(&fleet) {
-        server.state.switches.lies.store(true, Ordering::Relaxed);
+        server.state.switches.is_health_faked.store(true, Ordering::Relaxed);
         server.state.switches.draining.store(true, Ordering::Relaxed);
     }
     tokio::time::sleep(DRAIN_GRACE).await;
     let calls_at_grace = count_late_calls(&fleet);
     tokio::time::sleep(FALSE_HEALTH_TIME - DRAIN_GRACE).await;
     for server in draining_servers(&fleet) {
-        server.state.switches.lies.store(false, Ordering::Relaxed);
+        server.state.switches.is_health_faked.store(false, Ordering::Relaxed);
     }
     let report = running.await.map_err(|_| FleetError::NotReady)?;
     let new_work = count_late_calls(&fleet) - calls_at_grace;
--- a/crates/lab/src/experiments/hedging.rs
+++ b/crates/lab/src/experiments/hedging.rs
@@ -31,7 +31,7 @@
     let fleet = start_warm(plan, LOADS[0].1).await?;
     for server in fleet.all_servers() {
         server.state.switches.straggle_factor.store(STRAGGLER_SLOWDOWN, Ordering::Relaxed);
-        server.state.switches.straggle.store(STRAGGLERS_PER_MILLE, Ordering::Relaxed);
+        server.state.switches.straggle_per_mille.store(STRAGGLERS_PER_MILLE, Ordering::Relaxed);
     }
     let mut by_load = Map::new();
     for (name, rate) in LOADS {
--- a/crates/lab/src/experiments/straggler.rs
+++ b/crates/lab/src/experiments/straggler.rs
@@ -35,11 +35,11 @@
     }
     for server in fleet.all_servers() {
         server.state.switches.straggle_factor.store(STRAGGLER_SLOWDOWN, Ordering::Relaxed);
-        server.state.switches.straggle.store(STRAGGLERS_PER_MILLE, Ordering::Relaxed);
+        server.state.switches.straggle_per_mille.store(STRAGGLERS_PER_MILLE, Ordering::Relaxed);
     }
     if let Some(server) = fleet.all_servers().next() {
         server.state.switches.slow_factor.store(SLOW_SERVER_SLOWDOWN, Ordering::Relaxed);
-        server.state.switches.lies.store(true, Ordering::Relaxed);
+        server.state.switches.is_health_faked.store(true, Ordering::Relaxed);
     }
     let figures = measure(&fleet, &load_on(&fleet, RATE, LOAD_TIME)).await;
     fleet.stop().await;
