--- a/crates/lab/tests/deploy.rs
+++ b/crates/lab/tests/deploy.rs
@@ -1,4 +1,4 @@
-//! The deploy file: the program it names starts with the settings that the platform fills in.
+//! Checks that the program of the deploy file accepts the settings that the platform fills into the template.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,15 +10,15 @@
 
 const DEPLOY: &str = include_str!("../../../deploy/system.toml");
 
-/// The text of a `name = "text"` line of the deploy file.
-fn read_line(name: &str) -> &'static str {
-    let start = format!("{name} = \"");
-    let line = DEPLOY.lines().find_map(|line| line.strip_prefix(start.as_str()));
-    line.and_then(|rest| rest.strip_suffix('"')).expect("a line of the deploy file")
+/// Returns the value of a `name = "value"` line of the deploy file.
+fn read_value(name: &str) -> &'static str {
+    let prefix = format!("{name} = \"");
+    let line = DEPLOY.lines().find_map(|line| line.strip_prefix(prefix.as_str()));
+    line.and_then(|value| value.strip_suffix('"')).expect("a line of the deploy file")
 }
 
 fn fill_template() -> String {
-    let template = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").join(read_line("template"));
+    let template = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").join(read_value("template"));
     let template = std::fs::read_to_string(template).expect("the template");
     let port = |number| SocketAddr::from(([127, 0, 0, 1], number));
     let gaps = SettingsGaps {
@@ -37,12 +37,12 @@
         extra_allowance: 54,
         are_keys_strict: false,
     };
-    gaps.fill(&template).expect("a template without other gaps")
+    gaps.fill(&template).expect("a template without other placeholders")
 }
 
 #[test]
-fn the_deployed_command_takes_the_deployed_settings() {
-    let mut words = read_line("run").split(' ');
+fn the_deployed_command_accepts_the_deployed_settings() {
+    let mut words = read_value("run").split(' ');
     let program = Path::new(words.next().expect("a program"));
     assert_eq!(program.parent(), Some(Path::new("target/release")));
     let name = program.file_name().and_then(|name| name.to_str()).expect("a name");
@@ -54,7 +54,7 @@
     });
     let output = Command::new(find_binary(name)).args(arguments).arg("--check").output().expect("a run");
     std::fs::remove_file(&path).expect("the file");
-    let told = String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr);
-    assert_eq!(told.trim(), "settings of node front-vienna-1 are valid");
+    let printed = String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr);
+    assert_eq!(printed.trim(), "settings of node front-vienna-1 are valid");
     assert!(output.status.success());
 }
--- a/crates/lab/tests/faults.rs
+++ b/crates/lab/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Promises under faults, with real processes: doubled deliveries, kills, crossed answers,
-//! advancing versions, a lossy store, cut domains, strangers at the peers' port.
+//! Guarantees under faults, with real processes: duplicate deliveries, killed nodes, crossed answers, advancing
+//! index versions, a lossy store, partitioned failure domains and malformed bytes on the peer port.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -53,8 +53,8 @@
 }
 
 fn ran(answer: &CallAnswer) -> String {
-    let told: Value = serde_json::from_slice(&answer.body).expect("JSON");
-    told["ran"].as_str().expect("a word").to_owned()
+    let body: Value = serde_json::from_slice(&answer.body).expect("JSON");
+    body["ran"].as_str().expect("a text").to_owned()
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -71,22 +71,22 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn tickets_of_a_killed_node_are_unknown_and_of_a_stopped_one_go_on() {
+async fn tickets_of_a_killed_node_are_unknown_and_of_a_stopped_node_stay_valid() {
     let mut fleet = Fleet::start(plan()).await.expect("a fleet");
     let sender = OrderSender::new(fleet.client.clone());
-    let killed = sender.mint(fleet.nodes[1].addresses.callers, 1).await.remove(0);
-    let stopped = sender.mint(fleet.nodes[2].addresses.callers, 2).await;
-    assert_eq!(ran(&order(&fleet, 0, &stopped[0]).await), "ran");
+    let killed_ticket = sender.mint(fleet.nodes[1].addresses.callers, 1).await.remove(0);
+    let stopped_tickets = sender.mint(fleet.nodes[2].addresses.callers, 2).await;
+    assert_eq!(ran(&order(&fleet, 0, &stopped_tickets[0]).await), "ran");
     let handle = fleet.nodes[2].handle.take().expect("a node");
     assert!(handle.stop().await);
-    assert_eq!(ran(&order(&fleet, 0, &stopped[1]).await), "ran", "an unused ticket runs at the node that took over");
-    assert_eq!(ran(&order(&fleet, 0, &stopped[0]).await), "ran", "a used one is told its first outcome");
-    assert_eq!(fleet.log.count(&stopped[0]), 1);
+    assert_eq!(ran(&order(&fleet, 0, &stopped_tickets[1]).await), "ran", "an unused ticket runs at the successor node");
+    assert_eq!(ran(&order(&fleet, 0, &stopped_tickets[0]).await), "ran", "a used ticket returns its first outcome");
+    assert_eq!(fleet.log.count(&stopped_tickets[0]), 1);
     if let Some(NodeHandle::Process(mut child)) = fleet.nodes[1].handle.take() {
         child.kill().await.expect("a kill");
     }
-    assert_eq!(ran(&order(&fleet, 0, &killed).await), "unknown");
-    assert_eq!(fleet.log.count(&killed), 0);
+    assert_eq!(ran(&order(&fleet, 0, &killed_ticket).await), "unknown");
+    assert_eq!(fleet.log.count(&killed_ticket), 0);
     fleet.stop().await;
 }
 
@@ -100,7 +100,7 @@
         let (domain, name) = (fleet.nodes[number].domain, fleet.nodes[number].name.clone());
         let handle = fleet.nodes[number].handle.take().expect("a node");
         assert!(handle.stop().await);
-        fleet.add_node(domain, &name).await.expect("the node again");
+        fleet.add_node(domain, &name).await.expect("the restarted node");
         fleet.wait_ready().await.expect("a ready fleet");
     }
     for ticket in &tickets {
@@ -111,7 +111,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn crossed_and_cut_answers_are_never_folded() {
+async fn crossed_and_truncated_answers_are_never_merged() {
     let fleet = Fleet::start(plan()).await.expect("a fleet");
     for server in fleet.all_servers() {
         server.state.switches.crossed.store(300, Ordering::Relaxed);
@@ -126,10 +126,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_come_from_one_version_through_a_repartition() {
+async fn answers_come_from_one_version_during_a_repartition() {
     let fleet = Fleet::start(FleetPlan { repartition_at: Some(15), ..plan() }).await.expect("a fleet");
     let servers: Vec<_> = fleet.all_servers().map(|server| server.state.clone()).collect();
-    let advancing = tokio::spawn(async move {
+    let advance_task = tokio::spawn(async move {
         for version in 2..30 {
             tokio::time::sleep(Duration::from_millis(100)).await;
             for server in &servers {
@@ -138,7 +138,7 @@
         }
     });
     let report = run_load(&fleet, 100.0, 4).await;
-    advancing.await.expect("the versions advanced");
+    advance_task.await.expect("the versions advanced");
     assert_eq!((report.requests, report.broken, report.failed), (400, 0, 0), "{report:?}");
     let answer = fleet.query(fleet.callers()[0]).await.expect("an answer");
     assert_eq!(answer.coverage.shards, 12, "the new layout has twice the shards");
@@ -146,14 +146,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn in_a_store_outage_tickets_run_and_own_keys_are_refused_with_one() {
+async fn during_a_store_outage_tickets_run_and_callers_keys_are_refused_with_a_ticket() {
     let fleet = Fleet::start(plan()).await.expect("a fleet");
     fleet.platform.state.faults.outage.store(true, Ordering::Relaxed);
     let refused = order(&fleet, 0, "own-key").await;
     assert_eq!(ran(&refused), "not_run");
     assert_eq!(fleet.log.count("own-key"), 0);
-    let told: Value = serde_json::from_slice(&refused.body).expect("JSON");
-    let ticket = told["ticket"].as_str().expect("a ticket");
+    let problem: Value = serde_json::from_slice(&refused.body).expect("JSON");
+    let ticket = problem["ticket"].as_str().expect("a ticket");
     assert_eq!(ran(&order(&fleet, 3, ticket).await), "ran");
     let answer = fleet.query(fleet.callers()[0]).await.expect("an answer");
     assert!(answer.coverage.missing.is_empty());
@@ -161,14 +161,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn racing_changes_over_a_lossy_store_are_each_once_in_the_audit() {
+async fn concurrent_changes_over_a_lossy_store_are_in_the_audit_once() {
     let fleet = Fleet::start(plan()).await.expect("a fleet");
     fleet.platform.state.faults.lost_answers.store(300, Ordering::Relaxed);
-    let mut racing = tokio::task::JoinSet::new();
+    let mut change_tasks = tokio::task::JoinSet::new();
     for operator in 0..2usize {
         let (client, config) = (fleet.client.clone(), fleet.config.clone());
         let address = fleet.nodes[operator * 2].addresses.operators;
-        racing.spawn(async move {
+        change_tasks.spawn(async move {
             let mut accepted = Vec::new();
             for _ in 0..10 {
                 let change = ChangeId(rand::random());
@@ -184,48 +184,47 @@
             accepted
         });
     }
-    let accepted: Vec<ChangeId> = racing.join_all().await.into_iter().flatten().collect();
+    let accepted: Vec<ChangeId> = change_tasks.join_all().await.into_iter().flatten().collect();
     fleet.platform.state.faults.lost_answers.store(0, Ordering::Relaxed);
     let head = fleet.platform.state.dump("config/head");
     let head: HeadRecord = serde_json::from_slice(&head[0].1).expect("a head");
-    let copies = fleet.platform.state.dump("audit/");
-    let copies = copies.iter().map(|(_, body)| serde_json::from_slice::<HeadRecord>(body).expect("a record"));
-    let records: Vec<HeadRecord> =
-        copies.filter(|record| record.version < head.version).chain([head.clone()]).collect();
+    let audit = fleet.platform.state.dump("audit/");
+    let audit = audit.iter().map(|(_, body)| serde_json::from_slice::<HeadRecord>(body).expect("a record"));
+    let records: Vec<HeadRecord> = audit.filter(|record| record.version < head.version).chain([head.clone()]).collect();
     for change in &accepted {
         let found = records.iter().filter(|record| record.change == *change).count();
         assert_eq!(found, 1, "change {change} of {}", accepted.len());
     }
     assert!(!accepted.is_empty());
     assert_eq!(records.len() as u64, head.version.0, "no version may be missing from the audit");
-    let wanted = head.version;
-    wait_for("the newest configuration everywhere", async || {
+    let newest_version = head.version;
+    wait_for("the newest configuration at all nodes", async || {
         let mut versions: Vec<ConfigVersion> = Vec::new();
         for callers in fleet.callers() {
             versions.extend(fleet.query(callers).await.map(|answer| answer.config_version));
         }
-        versions == vec![wanted; 4]
+        versions == vec![newest_version; 4]
     })
     .await;
     fleet.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_domain_serves_its_own_and_comes_back() {
+async fn a_partitioned_domain_serves_its_own_shards_and_rejoins() {
     let fleet = Fleet::start(plan()).await.expect("a fleet");
-    let set_cut = |is_cut: bool| {
+    let set_partitioned = |is_partitioned: bool| {
         for proxy in fleet.nodes.iter().filter_map(|node| node.proxy.as_ref()) {
-            proxy.faults.cut.store(is_cut, Ordering::Relaxed);
+            proxy.faults.cut.store(is_partitioned, Ordering::Relaxed);
             proxy.faults.break_all();
         }
     };
-    set_cut(true);
+    set_partitioned(true);
     let answer = fleet.query(fleet.callers()[0]).await.expect("an answer");
     assert_eq!((answer.coverage.shards, answer.coverage.answered), (6, 3));
     let reasons: Vec<MissingReason> = answer.coverage.missing.iter().map(|missing| missing.reason).collect();
     assert_eq!(reasons, [MissingReason::NoOwner; 3]);
-    set_cut(false);
-    wait_for("whole answers after the cut", async || {
+    set_partitioned(false);
+    wait_for("complete answers after the partition", async || {
         let answer = fleet.query(fleet.callers()[0]).await;
         answer.is_some_and(|answer| answer.coverage.missing.is_empty())
     })
@@ -234,26 +233,26 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stranger_at_the_peers_port_closes_its_own_link_only() {
+async fn malformed_bytes_on_the_peer_port_close_only_their_connection() {
     let fleet = Fleet::start(plan()).await.expect("a fleet");
     let address = fleet.nodes[0].addresses.peers;
-    for garbage in
+    for malformed in
         [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xff; 64], b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\xff\x07\x07junk"]
     {
-        let mut stranger = tokio::net::TcpStream::connect(address).await.expect("a connection");
-        stranger.write_all(garbage).await.expect("writing");
-        let mut rest = Vec::new();
-        let closed = tokio::time::timeout(WAIT_AT_MOST, stranger.read_to_end(&mut rest)).await;
-        assert!(closed.is_ok(), "the link must be closed");
+        let mut stream = tokio::net::TcpStream::connect(address).await.expect("a connection");
+        stream.write_all(malformed).await.expect("writing");
+        let mut received = Vec::new();
+        let closed = tokio::time::timeout(WAIT_AT_MOST, stream.read_to_end(&mut received)).await;
+        assert!(closed.is_ok(), "the connection must be closed");
     }
     let report = run_load(&fleet, 50.0, 1).await;
     assert_eq!((report.whole, report.broken), (50, 0), "{report:?}");
     fleet.stop().await;
 }
 
-/// Whether anybody has a connection to an address, also one whose other end is closed already.
+/// Whether any process has a connection to an address, including one that the other end has closed.
 fn has_connections(address: std::net::SocketAddr) -> bool {
-    /// What the system calls established, and closed by the other end.
+    /// The codes of `/proc/net/tcp` for established and close-wait sockets.
     const OPEN_STATES: [&str; 2] = ["01", "08"];
     let port = format!(":{:04X}", address.port());
     let sockets = std::fs::read_to_string("/proc/net/tcp").expect("the system's list of sockets");
@@ -263,24 +262,25 @@
     })
 }
 
-/// A forwarded order for which there was no connection had certainly not run, and was told as unknown at once: beside
-/// load a new connection may take longer than the time for one.
+/// Guards against an unknown outcome for an order that certainly has not run: while there was no connection to the
+/// node of its ticket, it was answered as unknown at once, though under load a new connection may take longer than
+/// the time allowed for one.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_waits_for_the_way_to_the_node_of_its_ticket() {
+async fn an_order_waits_for_a_connection_to_the_node_of_its_ticket() {
     let mut fleet = Fleet::start(FleetPlan { deadline: "8s", ..plan() }).await.expect("a fleet");
     let sender = OrderSender::new(fleet.client.clone());
     let ticket = sender.mint(fleet.nodes[0].addresses.callers, 1).await.remove(0);
-    let way = fleet.nodes[0].proxy.take().expect("a proxy");
-    let (address, target) = (way.address, *way.target.lock().expect("its target"));
-    drop(way);
-    // What goes out on a connection that is just breaking may have arrived, and is unknown in truth.
-    wait_for("every connection over the way to be closed", async || !has_connections(address)).await;
-    let (told, way) = tokio::join!(order(&fleet, 3, &ticket), async {
+    let node_proxy = fleet.nodes[0].proxy.take().expect("a proxy");
+    let (address, target) = (node_proxy.address, *node_proxy.target.lock().expect("its target"));
+    drop(node_proxy);
+    // An order sent on a connection that is just breaking may have arrived, so its outcome is really unknown.
+    wait_for("every connection through the proxy to be closed", async || !has_connections(address)).await;
+    let (answer, node_proxy) = tokio::join!(order(&fleet, 3, &ticket), async {
         tokio::time::sleep(Duration::from_millis(500)).await;
-        proxy::start(address, target).await.expect("the way again")
+        proxy::start(address, target).await.expect("the restarted proxy")
     });
-    assert_eq!(ran(&told), "ran", "{told:?}");
+    assert_eq!(ran(&answer), "ran", "{answer:?}");
     assert_eq!(fleet.log.count(&ticket), 1);
-    drop(way);
+    drop(node_proxy);
     fleet.stop().await;
 }
--- a/crates/lab/tests/path.rs
+++ b/crates/lab/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path with real processes: queries, missing shards, refusals, planned stops.
+//! End-to-end tests with real processes: queries, missing shards, refusals and planned stops.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What is tried, its path, headers and body.
+/// The name of a case, its path, headers and body.
 type RefusalCase<'a> = (&'a str, String, Vec<(&'static str, &'a str)>, &'a [u8]);
 
 fn plan() -> FleetPlan {
@@ -27,7 +27,7 @@
     LabClient::default().call(Method::POST, address, path, headers, body, CALL_TIMEOUT).await.expect("an answer")
 }
 
-/// A problem without what differs from run to run.
+/// The problem details of an answer without the values that differ from run to run.
 fn problem(answer: &CallAnswer) -> Value {
     let mut problem: Value = serde_json::from_slice(&answer.body).expect("problem details");
     let fields = problem.as_object_mut().expect("an object");
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_query_is_whole_and_names_shards_that_are_missing() {
+async fn a_query_is_complete_and_lists_missing_shards() {
     let mut fleet = Fleet::start(plan()).await.expect("a fleet");
     for callers in fleet.callers() {
         let answer = fleet.query(callers).await.expect("an answer");
@@ -57,38 +57,38 @@
 async fn bad_requests_get_typed_refusals_that_did_not_run() {
     let fleet = Fleet::start(plan()).await.expect("a fleet");
     let token = format!("Bearer {TOKEN}");
-    let known = ("authorization", token.as_str());
+    let authorization = ("authorization", token.as_str());
     let query = format!("/v1/indexes/{INDEX}/query");
     let order = format!("/v1/indexes/{INDEX}/order");
     let large = vec![b' '; (1 << 20) + 1];
     let cases: Vec<RefusalCase> = vec![
-        ("unknown index", "/v1/indexes/nowhere/query".to_owned(), vec![known], b"{}"),
+        ("unknown index", "/v1/indexes/nowhere/query".to_owned(), vec![authorization], b"{}"),
         ("unknown caller", query.clone(), vec![("authorization", "Bearer nobody")], b"{}"),
         ("no token", query.clone(), vec![], b"{}"),
-        ("body over the limit", query.clone(), vec![known], &large),
-        ("bad deadline", query.clone(), vec![known, ("streamfold-deadline", "soon")], b"{}"),
-        ("bad preference", query.clone(), vec![known, ("streamfold-prefer", "luck")], b"{}"),
-        ("bad shards", format!("{query}?shards=3-1"), vec![known], b"{}"),
-        ("no such shard", format!("{query}?shards=0,17"), vec![known], b"{}"),
-        ("order without key", order.clone(), vec![known], b"{\"key\":\"a\"}"),
-        ("order without record", order.clone(), vec![known, ("idempotency-key", "k")], b"{}"),
-        ("forged ticket", order.clone(), vec![known, ("idempotency-key", "t1.x")], b"{\"key\":\"a\"}"),
+        ("body over the limit", query.clone(), vec![authorization], &large),
+        ("bad deadline", query.clone(), vec![authorization, ("streamfold-deadline", "soon")], b"{}"),
+        ("bad preference", query.clone(), vec![authorization, ("streamfold-prefer", "luck")], b"{}"),
+        ("bad shards", format!("{query}?shards=3-1"), vec![authorization], b"{}"),
+        ("no such shard", format!("{query}?shards=0,17"), vec![authorization], b"{}"),
+        ("order without key", order.clone(), vec![authorization], b"{\"key\":\"a\"}"),
+        ("order without record", order.clone(), vec![authorization, ("idempotency-key", "k")], b"{}"),
+        ("forged ticket", order.clone(), vec![authorization, ("idempotency-key", "t1.x")], b"{\"key\":\"a\"}"),
     ];
-    let mut told = Vec::new();
+    let mut results = Vec::new();
     for (name, path, headers, body) in cases {
         let answer = post(&fleet, &path, &headers, body).await;
-        told.push(json!({ "case": name, "status": answer.status.as_u16(), "problem": problem(&answer) }));
+        results.push(json!({ "case": name, "status": answer.status.as_u16(), "problem": problem(&answer) }));
     }
-    assert_json_snapshot!(told);
+    assert_json_snapshot!(results);
     fleet.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_bad_configuration_is_refused_whole() {
+async fn an_invalid_configuration_is_rejected_as_a_whole() {
     let fleet = Fleet::start(plan()).await.expect("a fleet");
-    let worse =
+    let invalid_config =
         fleet.config.replace("slots: 2", "slots: 0").replace("prefer: coverage", "prefer: coverage\n    rate: 5/h");
-    let refused = fleet.apply(&worse).await;
+    let refused = fleet.apply(&invalid_config).await;
     assert!(matches!(refused, Err(FleetError::Apply(StatusCode::UNPROCESSABLE_ENTITY, _))), "{refused:?}");
     for callers in fleet.callers() {
         let answer = fleet.query(callers).await.expect("an answer");
@@ -100,9 +100,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_under_load_cuts_nothing_off() {
+async fn a_planned_stop_under_load_loses_no_request() {
     let mut fleet = Fleet::start(plan()).await.expect("a fleet");
-    let stopping = fleet.nodes[1].handle.take().expect("a running node");
+    let stopping_node = fleet.nodes[1].handle.take().expect("a running node");
     let load_plan = LoadPlan {
         nodes: fleet.callers(),
         index: INDEX.to_owned(),
@@ -114,7 +114,7 @@
     };
     let load = tokio::spawn(async move { load::run(&LabClient::default(), &load_plan).await });
     tokio::time::sleep(Duration::from_secs(1)).await;
-    assert!(stopping.stop().await, "the stopping node must end by itself, with exit code 0");
+    assert!(stopping_node.stop().await, "the stopping node must exit by itself, with code 0");
     let report = load.await.expect("a report");
     assert_eq!((report.requests, report.whole, report.broken), (300, 300, 0), "{report:?}");
     fleet.stop().await;
--- a/crates/lab/tests/routes.rs
+++ b/crates/lab/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes: where requests go, what is passed on, what is refused. With real processes.
+//! Routing with real processes: which service gets a request, what is forwarded and what is refused.
 
 use std::sync::atomic::Ordering;
 
@@ -19,18 +19,18 @@
     let fleet = RouteFleet::start(RouteFleetPlan { nodes: [1, 0], servers, routes, ..RouteFleetPlan::default() })
         .await
         .expect("a fleet");
-    let mut seen = Vec::new();
+    let mut results = Vec::new();
     for (number, path) in ["/a/x", "/a/b/x", "/a/b", "/a/bc/x", "/a/b/", "/c/x", "/", "/a"].into_iter().enumerate() {
         let id = format!("r-{number}");
         let answer = get(&fleet, path, &id).await;
         let service = header(&answer, "x-server-stamp").and_then(|proof| fleet.find_proof(&id, proof));
-        seen.push(format!("{path}: {} {service:?}", answer.status.as_u16()));
+        results.push(format!("{path}: {} {service:?}", answer.status.as_u16()));
     }
     let headers = [("host", "other.example"), ("x-request-id", "r-host")];
     let callers = fleet.nodes[0].addresses.callers;
     let other = fleet.client.call(Method::GET, callers, "/a/x", &headers, Bytes::new(), WAIT_AT_MOST).await;
-    seen.push(format!("another host: {}", other.expect("an answer").status.as_u16()));
-    insta::assert_snapshot!(seen.join("\n"));
+    results.push(format!("another host: {}", other.expect("an answer").status.as_u16()));
+    insta::assert_snapshot!(results.join("\n"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -50,17 +50,17 @@
     check_own(&fleet, &get(&fleet, "/any/x", "r-1").await, "r-1");
 }
 
-/// The headers of a request as a server saw it, without those that say how it came.
-fn passed_headers(headers: &[(String, String)]) -> Vec<String> {
-    let is_kept = |name: &str| !["x-deadline-ms", "content-length", "transfer-encoding"].contains(&name);
-    let mut kept: Vec<String> =
-        headers.iter().filter(|(name, _)| is_kept(name)).map(|(name, value)| format!("{name}: {value}")).collect();
-    kept.sort();
-    kept
+/// The headers of a request as a server received it, without its deadline and the framing of its body.
+fn forwarded_headers(headers: &[(String, String)]) -> Vec<String> {
+    let is_forwarded = |name: &str| !["x-deadline-ms", "content-length", "transfer-encoding"].contains(&name);
+    let mut forwarded: Vec<String> =
+        headers.iter().filter(|(name, _)| is_forwarded(name)).map(|(name, value)| format!("{name}: {value}")).collect();
+    forwarded.sort();
+    forwarded
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_and_its_answer_pass_unchanged() {
+async fn a_request_and_its_answer_are_forwarded_unchanged() {
     let fleet = start_single().await;
     let server = &fleet.servers[0];
     let fixed = format!(
@@ -88,15 +88,15 @@
     }
     let runs = server.state.runs();
     assert!(runs.iter().all(|run| run.request.deadline_ms().is_some_and(|left| left > 0.0 && left <= 5000.0)));
-    let seen: Vec<String> = runs
+    let results: Vec<String> = runs
         .iter()
         .map(|run| {
             let request = &run.request;
-            let headers = passed_headers(&request.headers).join("\n");
+            let headers = forwarded_headers(&request.headers).join("\n");
             format!("{} {}\n{headers}\n{:?}", request.method, request.path, request.body)
         })
         .collect();
-    insta::assert_snapshot!(seen.join("\n\n"));
+    insta::assert_snapshot!(results.join("\n\n"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -115,12 +115,12 @@
     }
     let runs: Vec<usize> = fleet.servers.iter().map(|server| server.state.runs().len()).collect();
     assert_eq!((runs[0] + runs[1], runs[2]), (400, 0));
-    // Outside these bounds by chance once in about ten million runs.
+    // A correct split falls outside these bounds in about one of ten million runs.
     assert!((55..=150).contains(&runs[1]), "{runs:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_part_of_a_split_without_room_refuses_its_share_and_moves_none() {
+async fn a_split_service_without_capacity_refuses_its_share_and_shifts_none() {
     let servers = vec![near("i-0", "old"), near("i-1", "new")];
     let split = json!({ "split": [{ "service": "old", "weight": 1 }, { "service": "new", "weight": 1 }] });
     let routes = vec![write_route("split", "/any/", &split)];
@@ -136,13 +136,12 @@
     }
     let runs: Vec<usize> = fleet.servers.iter().map(|server| server.state.runs().len()).collect();
     assert_eq!((runs[0] + refused, runs[1]), (40, 0));
-    // By turns the share is exact within a few requests; by dice it would be off by more than
-    // this in about one run of four.
+    // A rotation keeps the share exact within a few requests; a random choice would be outside these bounds in about
+    // one run of four.
     assert!((17..=23).contains(&refused), "{refused} refused");
 }
 
-/// Writes bytes of a caller's own and reads until so many bytes of body are in or the
-/// connection ends.
+/// Sends raw bytes to a node and reads until it closes the connection.
 async fn exchange_raw(fleet: &RouteFleet, request: &[u8]) -> String {
     let mut stream = TcpStream::connect(fleet.nodes[0].addresses.callers).await.expect("a connection");
     stream.write_all(request).await.expect("a sent request");
@@ -155,13 +154,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_over_the_limit_gets_413() {
     let fleet = start_single().await;
-    let mut seen = Vec::new();
+    let mut results = Vec::new();
     for (len, id) in [(65_536, "r-fits"), (65_537, "r-over"), (1 << 20, "r-far-over")] {
         let answer = fleet.call(0, Method::POST, "/any/x", id, Bytes::from(vec![b'x'; len])).await;
         let status = answer.expect("an answer").status.as_u16();
-        seen.push((len, status, fleet.count_calls(id)));
+        results.push((len, status, fleet.count_calls(id)));
     }
-    assert_eq!(seen, [(65_536, 200, 1), (65_537, 413, 0), (1 << 20, 413, 0)]);
+    assert_eq!(results, [(65_536, 200, 1), (65_537, 413, 0), (1 << 20, 413, 0)]);
     let mut chunked = format!(
         "POST /any/x HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: r-chunks\r\nConnection: close\r\n\
          Transfer-Encoding: chunked\r\n\r\n"
--- a/crates/lab/tests/routes_alone.rs
+++ b/crates/lab/tests/routes_alone.rs
@@ -1,5 +1,5 @@
-//! Nodes in routing mode, with real processes: without the platform's store, while they stop,
-//! when settings are read again, and what their logs tell of a failed request.
+//! Routing nodes with real processes: operation without the platform's store, shutdown, failed reloads of the
+//! settings, and logging of failed requests and to an output that is not read.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -21,45 +21,45 @@
     write_route(service, &format!("/{service}/"), &json!({ "service": service }))
 }
 
-async fn answers(fleet: &RouteFleet, node: usize, path: &str) -> bool {
+async fn is_answered(fleet: &RouteFleet, node: usize, path: &str) -> bool {
     let id = format!("r-{:08x}", rand::random::<u32>());
     let answer = fleet.call(node, Method::GET, path, &id, Bytes::new()).await;
     answer.is_ok_and(|answer| answer.status.is_success())
 }
 
-/// An address at which nothing listens.
-fn dead_address() -> SocketAddr {
+/// An address on which nothing listens.
+fn unused_address() -> SocketAddr {
     let listener = std::net::TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
     listener.local_addr().expect("its address")
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_without_the_store_learns_newer_routes_and_their_servers_from_another() {
+async fn a_node_without_the_store_gets_newer_routes_and_their_servers_from_a_peer() {
     let servers = vec![server("i-0", "cart"), server("i-1", "late")];
     let plan = RouteFleetPlan { nodes: [1, 0], servers, routes: vec![route("cart")], ..RouteFleetPlan::default() };
     let mut fleet = RouteFleet::start(plan).await.expect("a fleet");
     fleet.unregister(1);
-    wait_for("the second server's end", async || {
+    wait_for("the removal of the second server", async || {
         !fleet.nodes[0].logged(&["event=server_gone", "server=i-1"]).is_empty()
     })
     .await;
-    let store = std::mem::replace(&mut fleet.platform.address, dead_address());
+    let store = std::mem::replace(&mut fleet.platform.address, unused_address());
     fleet.add_node(1, "alone").await.expect("a node");
     fleet.platform.address = store;
-    wait_for("an answer of the node without the store", async || answers(&fleet, 1, "/cart/x").await).await;
-    // A service whose only server is new, and routes to it: both must come from the other node.
+    wait_for("an answer of the node without the store", async || is_answered(&fleet, 1, "/cart/x").await).await;
+    // The new route leads to a service whose only server is new: both must come from the other node.
     fleet.register(1, "ready");
     fleet.put_document(2, &[route("cart"), route("late")]);
-    wait_for("an answer on the new route", async || answers(&fleet, 1, "/late/x").await).await;
-    assert!(answers(&fleet, 1, "/cart/x").await, "the old route is served on");
-    wait_for("the line that tells where the routes are from", async || {
+    wait_for("an answer on the new route", async || is_answered(&fleet, 1, "/late/x").await).await;
+    assert!(is_answered(&fleet, 1, "/cart/x").await, "the old route is still served");
+    wait_for("the log line with the source of the routes", async || {
         fleet.nodes[1].logged(&["event=routes_in_force", "version=2", "source=peer"]).len() == 1
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_closes_takes_no_new_connection_and_finishes_what_it_has() {
+async fn a_stopping_node_accepts_no_connection_and_finishes_its_requests() {
     let plan = RouteFleetPlan {
         nodes: [1, 0],
         servers: vec![server("i-0", "cart")],
@@ -67,7 +67,7 @@
         ..RouteFleetPlan::default()
     };
     let mut fleet = RouteFleet::start(plan).await.expect("a fleet");
-    // Longer than the node serves on after the signal, shorter than its time to stop.
+    // Longer than the node keeps its port open after the signal, shorter than its grace period.
     fleet.servers[0].state.switches.pause_ms.store(4_000, Ordering::Relaxed);
     let callers = fleet.nodes[0].addresses.callers;
     let headers = [("host", HOST), ("x-request-id", "r-last"), ("x-deadline-ms", "8000")];
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_hangup_with_settings_that_cannot_be_read_changes_and_ends_nothing() {
+async fn a_reload_of_unreadable_settings_changes_nothing_and_does_not_end_the_node() {
     let plan = RouteFleetPlan {
         nodes: [1, 0],
         servers: vec![server("i-0", "cart")],
@@ -97,14 +97,14 @@
     for round in 1..=3 {
         send_signal(&fleet.nodes[0].process, "HUP").await;
         // The fleet removes a settings file once its node has started.
-        let told = async || fleet.nodes[0].logged(&["event=settings_not_reloaded"]).len() >= round;
-        wait_for("the line about the reload", told).await;
-        assert!(answers(&fleet, 0, "/cart/x").await, "after hangup {round}");
+        let has_failures = async || fleet.nodes[0].logged(&["event=settings_not_reloaded"]).len() >= round;
+        wait_for("the line about the reload", has_failures).await;
+        assert!(is_answered(&fleet, 0, "/cart/x").await, "after hangup {round}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_failed_request_is_explained_from_its_id_alone() {
+async fn a_failed_request_is_explained_by_the_log_lines_of_its_id() {
     let servers = vec![server("i-0", "cart"), server("i-1", "cart")];
     let mut route = route("cart");
     route["maxAttempts"] = json!(2);
@@ -120,13 +120,13 @@
     let lines = async || fleet.nodes[0].logged(&["request=r-lost"]);
     wait_for("the request's last line", async || lines().await.iter().any(|line| line.contains("event=request ")))
         .await;
-    // The first field is the time; ids of servers come in the order in which they were asked.
-    let told = lines().await.iter().map(|line| tell(line)).collect::<Vec<_>>().join("\n");
-    insta::assert_snapshot!(told);
+    // Times and ids of servers are left out, since they differ from run to run.
+    let fields = lines().await.iter().map(|line| format_fields(line)).collect::<Vec<_>>().join("\n");
+    insta::assert_snapshot!(fields);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_whose_log_nobody_reads_answers_and_stops_as_planned() {
+async fn a_node_whose_log_is_not_read_answers_and_stops_as_planned() {
     let plan = RouteFleetPlan {
         nodes: [1, 0],
         servers: vec![server("i-0", "cart")],
@@ -141,19 +141,20 @@
     wait_for("dropped lines of the log", async || {
         fleet.call(0, Method::GET, &long_path, "r-long", Bytes::new()).await.expect("a refusal");
         let counters = client.call(Method::GET, metrics, "/metrics", &[], Bytes::new(), WAIT_AT_MOST).await;
-        counters.is_ok_and(|told| String::from_utf8_lossy(&told.body).contains("streamfold_log_lines_dropped_total"))
+        counters
+            .is_ok_and(|answer| String::from_utf8_lossy(&answer.body).contains("streamfold_log_lines_dropped_total"))
     })
     .await;
-    assert!(answers(&fleet, 0, "/cart/x").await, "the log holds up requests");
+    assert!(is_answered(&fleet, 0, "/cart/x").await, "the log blocks requests");
     send_signal(&fleet.nodes[0].process, "TERM").await;
-    let ended = tokio::time::timeout(WAIT_AT_MOST, fleet.nodes[0].process.wait()).await;
-    let status = ended.expect("the process ends though nobody reads its log").expect("an exit");
+    let exited = tokio::time::timeout(WAIT_AT_MOST, fleet.nodes[0].process.wait()).await;
+    let status = exited.expect("the process ends though nobody reads its log").expect("an exit");
     assert!(status.success(), "{status}");
 }
 
-/// The fields of a line that say what happened and why, without times and server ids.
-fn tell(line: &str) -> String {
-    let kept = ["event", "request", "service", "failure", "sent", "stop", "route", "version", "outcome", "status"];
-    let is_kept = |field: &&str| field.split_once('=').is_some_and(|(name, _)| kept.contains(&name));
-    line.split(' ').filter(is_kept).collect::<Vec<_>>().join(" ")
+/// The fields of a log line that are the same in every run, without times and server ids.
+fn format_fields(line: &str) -> String {
+    let names = ["event", "request", "service", "failure", "sent", "stop", "route", "version", "outcome", "status"];
+    let is_listed = |field: &&str| field.split_once('=').is_some_and(|(name, _)| names.contains(&name));
+    line.split(' ').filter(is_listed).collect::<Vec<_>>().join(" ")
 }
--- a/crates/lab/tests/routes_cold.rs
+++ b/crates/lab/tests/routes_cold.rs
@@ -1,4 +1,4 @@
-//! Cold servers: all nodes together send them no more than they bear. With real processes.
+//! Warm-up with real processes: all nodes together keep a cold server within its warm-up rate.
 
 use std::sync::atomic::Ordering;
 use std::time::Instant;
@@ -10,11 +10,11 @@
 use streamfold_lab::wait::wait_for;
 use streamfold_standin::documents::{COLD_ALLOWANCE, COLD_EXCESS, COLD_RATE};
 
-/// How long a server says that it stays cold: longer than a test.
+/// The remaining warm-up time that a server reports: longer than a test.
 const COLD_MS: u64 = 60_000;
-/// Calls until every node knows what one usually takes, and does not prefer far servers to cold ones.
+/// Calls after which every node knows the usual latency, so that it does not prefer far servers to cold ones.
 const WARM_CALLS: usize = 200;
-/// Nodes that call the cold server.
+/// The number of nodes, which all call the cold server.
 const CALLERS: usize = 6;
 
 async fn start() -> RouteFleet {
@@ -25,9 +25,9 @@
         .expect("a fleet")
 }
 
-/// Calls through every node by turns until the server that is cold has got some calls; how many it got,
-/// and the most that all nodes may have sent it in that time.
-async fn call_cold(fleet: &RouteFleet, name: &str, wanted: usize) -> (usize, f64) {
+/// Sends requests through all nodes in rotation until the cold server has received at least so many calls. Returns
+/// the number of its calls and the limit for all nodes together in that time.
+async fn call_cold(fleet: &RouteFleet, name: &str, min_calls: usize) -> (usize, f64) {
     let cold = &fleet.servers[0].state;
     let (before, started) = (cold.calls().len(), Instant::now());
     let mut number = 0;
@@ -38,7 +38,7 @@
             let answer = fleet.call(node, Method::GET, "/any/x", &id, Bytes::new()).await.expect("an answer");
             check_own(fleet, &answer, &id);
         }
-        cold.calls().len() >= before + wanted
+        cold.calls().len() >= before + min_calls
     })
     .await;
     let windows = started.elapsed().as_secs_f64().floor() + 1.0;
@@ -46,21 +46,21 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_goes_cold_gets_no_more_than_it_bears_from_all_nodes_together() {
+async fn all_nodes_together_keep_a_cold_server_within_its_warmup_rate() {
     let fleet = start().await;
     call_cold(&fleet, "warm", WARM_CALLS).await;
     fleet.servers[0].state.cold_ms.store(COLD_MS, Ordering::Relaxed);
     fleet.register(0, "ready");
     let event = ["event=server_cold", "server=i-0"];
     for node in &fleet.nodes {
-        wait_for("the news", async || !node.logged(&event).is_empty()).await;
+        wait_for("the update", async || !node.logged(&event).is_empty()).await;
     }
-    let (calls, most) = call_cold(&fleet, "cold", 12).await;
-    assert!(calls as f64 <= most, "{calls} calls, {most} at most");
+    let (calls, limit) = call_cold(&fleet, "cold", 12).await;
+    assert!(calls as f64 <= limit, "{calls} calls, {limit} at most");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn servers_that_are_given_back_after_an_evacuation_are_taken_for_cold() {
+async fn servers_are_treated_as_cold_after_an_evacuation() {
     let fleet = start().await;
     call_cold(&fleet, "warm", WARM_CALLS).await;
     fleet.evacuate(0, true);
@@ -69,8 +69,11 @@
     }
     fleet.evacuate(0, false);
     for node in &fleet.nodes {
-        wait_for("its end", async || !node.logged(&["event=evacuations_in_force", "=none"]).is_empty()).await;
+        wait_for("the end of the evacuation", async || {
+            !node.logged(&["event=evacuations_in_force", "=none"]).is_empty()
+        })
+        .await;
     }
-    let (calls, most) = call_cold(&fleet, "back", 12).await;
-    assert!(calls as f64 <= most, "{calls} calls, {most} at most");
+    let (calls, limit) = call_cold(&fleet, "back", 12).await;
+    assert!(calls as f64 <= limit, "{calls} calls, {limit} at most");
 }
--- a/crates/lab/tests/routes_crashing.rs
+++ b/crates/lab/tests/routes_crashing.rs
@@ -1,9 +1,8 @@
-//! A request may end the process of every server that begins to run it, and come again at any node. Nodes
-//! kept nothing of one request for the next, so each time it was sent to a server of every shard, and its
-//! retries to the others: in a recorded day 168 processes ended in 13 waves, each of some 40 within half a
-//! second, a few seconds after the servers were back. The nodes' lines show it: `event=call_failed ...
-//! failure=connection_lost` of one lookup at twelve servers in 150 ms, and a lookup with the same content four
-//! seconds later at six more. With real processes.
+//! Quarantine with real processes: a request that crashes every server that runs it may be sent again to any node.
+//! Without a memory of its content each repetition goes to a server of every shard and its retries to the others: it
+//! crashed 168 processes in 13 waves of some 40 within half a second, a few seconds after the servers had restarted.
+//! In the log this is `event=call_failed ... failure=connection_lost` of one lookup at twelve servers in 150 ms, and of
+//! a lookup with the same content at six more four seconds later.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -21,16 +20,16 @@
 const SHARDS: [&str; 4] = ["s-0", "s-1", "s-2", "s-3"];
 /// Nodes of each failure domain.
 const NODES: [usize; 2] = [2, 1];
-/// How long after its third crash a request may still reach servers: what the platform gives nodes that
-/// are in touch with it.
-const CONTACT: Duration = Duration::from_millis(4_000);
-/// How often it may reach servers after that.
-const MOST_AFTER: usize = 3;
-/// How often it is sent after that.
+/// How long after its third crash a request may still reach servers: the time that the platform allows nodes in
+/// contact with it for an update.
+const UPDATE_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// The number of times that it may reach servers after that.
+const MAX_ARRIVALS: usize = 3;
+/// The number of times that it is sent to each node after that.
 const ROUNDS: usize = 4;
 
-/// A fleet whose servers end a few milliseconds after they began to run a request with the mark, and are
-/// back shortly after.
+/// Starts a fleet whose servers crash a few milliseconds after they began to run a request with the crash mark, and
+/// restart shortly after.
 async fn start() -> RouteFleet {
     let mut servers = vec![near("i-0", "cart"), far("i-1", "cart")];
     for shard in SHARDS {
@@ -57,7 +56,7 @@
 }
 
 fn count_crashes(fleet: &RouteFleet) -> usize {
-    // A server that is down has not counted yet, so what its last run ran counts.
+    // A server that is down has not counted its crash yet, so the runs of the request are counted.
     fleet
         .servers
         .iter()
@@ -71,30 +70,30 @@
     calls.filter(|call| call.path.contains(CRASH_MARK)).count()
 }
 
-/// Waits until every server answers a request that does no harm, by each node.
-async fn wait_well(fleet: &RouteFleet) {
+/// Waits until harmless requests through each node are answered completely.
+async fn wait_healthy(fleet: &RouteFleet) {
     let mut number = 0;
-    wait_for("the servers to be back", async || {
+    wait_for("the servers to be up", async || {
         number += 1;
-        let mut is_well = true;
+        let mut is_healthy = true;
         for node in 0..NODES.iter().sum() {
             let answer = call(fleet, node, "/all/harmless", &format!("well-{node}-{number}")).await;
-            is_well &= answer.status == 200 && header(&answer, "x-missing-parts").unwrap_or("0") == "0";
-            is_well &= call(fleet, node, "/any/harmless", &format!("well-one-{node}-{number}")).await.status == 200;
+            is_healthy &= answer.status == 200 && header(&answer, "x-missing-parts").unwrap_or("0") == "0";
+            is_healthy &= call(fleet, node, "/any/harmless", &format!("well-one-{node}-{number}")).await.status == 200;
         }
-        is_well
+        is_healthy
     })
     .await;
 }
 
-/// Sends the same request to one node after the other until three servers have ended under it, then
-/// waits as long as it may still reach servers, and sends it on.
-async fn check_held_off(path: &str) {
-    check_held_off_by(&start().await, path).await;
+/// Sends the same request to all nodes in rotation until it has crashed three servers, waits as long as it may still
+/// reach servers, then sends it again and checks that it hardly reaches any.
+async fn check_quarantine(path: &str) {
+    check_quarantine_at(&start().await, path).await;
 }
 
-async fn check_held_off_by(fleet: &RouteFleet, path: &str) {
-    wait_well(fleet).await;
+async fn check_quarantine_at(fleet: &RouteFleet, path: &str) {
+    wait_healthy(fleet).await;
     let nodes = NODES.iter().sum::<usize>();
     let mut number = 0;
     wait_for("the third crash", async || {
@@ -104,8 +103,8 @@
         count_crashes(fleet) >= 3
     })
     .await;
-    tokio::time::sleep(CONTACT).await;
-    wait_well(fleet).await;
+    tokio::time::sleep(UPDATE_TIMEOUT).await;
+    wait_healthy(fleet).await;
     let before = count_arrivals(fleet);
     for round in 0..ROUNDS {
         for node in 0..nodes {
@@ -114,7 +113,7 @@
         }
     }
     let after = count_arrivals(fleet) - before;
-    assert!(after <= MOST_AFTER, "it reached servers {after} times more");
+    assert!(after <= MAX_ARRIVALS, "it reached servers {after} more times");
     for node in 0..nodes {
         let id = format!("other-{node}");
         check_own(fleet, &call(fleet, node, "/any/harmless", &id).await, &id);
@@ -122,55 +121,56 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_ends_its_servers_is_held_off_where_it_goes_to_every_shard() {
-    check_held_off(&format!("/all/{CRASH_MARK}")).await;
+async fn a_request_that_crashes_servers_is_quarantined_on_a_route_over_all_shards() {
+    check_quarantine(&format!("/all/{CRASH_MARK}")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_ends_its_servers_is_held_off_where_it_goes_to_one() {
-    check_held_off(&format!("/any/{CRASH_MARK}")).await;
+async fn a_request_that_crashes_servers_is_quarantined_on_a_route_to_one_service() {
+    check_quarantine(&format!("/any/{CRASH_MARK}")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_ends_its_servers_is_held_off_where_it_may_run_only_once() {
-    check_held_off(&format!("/once/{CRASH_MARK}")).await;
+async fn a_request_that_crashes_servers_is_quarantined_on_a_route_that_runs_it_once() {
+    check_quarantine(&format!("/once/{CRASH_MARK}")).await;
 }
 
-/// Servers may be back under the ids that they had: each run counts, and not each id.
+/// Guards against counting crashes by server id: a server may restart under its old id, and each run counts.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_ends_its_servers_is_held_off_where_they_come_back_under_their_ids() {
+async fn a_request_that_crashes_servers_is_quarantined_where_they_restart_under_their_ids() {
     let fleet = start().await;
     for server in &fleet.servers {
         server.state.switches.keeps_id.store(true, Ordering::Relaxed);
     }
-    check_held_off_by(&fleet, &format!("/any/{CRASH_MARK}")).await;
+    check_quarantine_at(&fleet, &format!("/any/{CRASH_MARK}")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_first_request_that_ends_its_servers_does_not_end_all_of_them() {
+async fn the_first_request_that_crashes_servers_does_not_crash_all_of_them() {
     let fleet = start().await;
-    wait_well(&fleet).await;
+    wait_healthy(&fleet).await;
     let answer = call(&fleet, 0, &format!("/all/{CRASH_MARK}"), "first").await;
     assert!(answer.status.is_server_error(), "{answer:?}");
     let crashes = count_crashes(&fleet);
-    // One of each shard at once, two retries before it is known what became of those, and one that goes first.
-    assert!(crashes <= SHARDS.len() + 3, "it ended {crashes} servers");
+    // One server of each shard at once, two retries before the outcome of these calls is known, and the canary.
+    assert!(crashes <= SHARDS.len() + 3, "it crashed {crashes} servers");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_starts_later_holds_it_off_too() {
+async fn a_node_that_starts_later_quarantines_the_request_too() {
     let mut fleet = start().await;
-    wait_well(&fleet).await;
+    wait_healthy(&fleet).await;
     let path = format!("/all/{CRASH_MARK}");
     call(&fleet, 0, &path, "first").await;
-    wait_for("the content to be held off", async || {
+    wait_for("the content to be quarantined", async || {
         (0..NODES.iter().sum()).all(|node| !fleet.nodes[node].logged(&["event=content_held"]).is_empty())
     })
     .await;
     fleet.add_node(1, "zone-b-late").await.expect("a node");
     fleet.wait_ready(http::StatusCode::OK).await.expect("ready");
     let late = NODES.iter().sum::<usize>();
-    wait_for("the late node to know", async || !fleet.nodes[late].logged(&["event=content_held"]).is_empty()).await;
+    wait_for("the quarantine at the late node", async || !fleet.nodes[late].logged(&["event=content_held"]).is_empty())
+        .await;
     let before = count_arrivals(&fleet);
     let answer = call(&fleet, late, &path, "late").await;
     assert_eq!(answer.status, 503, "{answer:?}");
@@ -179,9 +179,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_only_ran_beside_crashes_is_served_again() {
+async fn a_request_that_only_ran_during_crashes_is_released() {
     let fleet = start().await;
-    wait_well(&fleet).await;
+    wait_healthy(&fleet).await;
     for server in &fleet.servers {
         server.state.switches.work_ms.store(400, Ordering::Relaxed);
     }
@@ -195,8 +195,8 @@
     for server in &fleet.servers {
         server.state.switches.work_ms.store(0, Ordering::Relaxed);
     }
-    let held = async || !fleet.nodes[0].logged(&["event=content_held"]).is_empty();
-    wait_for("the content to be held off", held).await;
+    let is_quarantined = async || !fleet.nodes[0].logged(&["event=content_held"]).is_empty();
+    wait_for("the content to be quarantined", is_quarantined).await;
     let mut number = 0;
     wait_for("the request to be served again by every node", async || {
         number += 1;
@@ -207,6 +207,6 @@
         is_served
     })
     .await;
-    let released = async || !fleet.nodes[0].logged(&["event=content_released"]).is_empty();
-    wait_for("the content to be released", released).await;
+    let is_released = async || !fleet.nodes[0].logged(&["event=content_released"]).is_empty();
+    wait_for("the content to be released", is_released).await;
 }
--- a/crates/lab/tests/routes_deadly.rs
+++ b/crates/lab/tests/routes_deadly.rs
@@ -1,11 +1,11 @@
-//! The first time that a request comes which ends every server that begins to run it. What happens: one call goes to a
-//! server of each shard at once, all of them end within some milliseconds, and before anybody can know why, the lost calls are
-//! tried again at the other server of each shard, which ends, too. On a played day (a share of 0.03 of one kind of request,
-//! 14 servers, seven nodes) the first coming took nearly the whole service within half a second, and of what callers asked
-//! for in the next two seconds 39 of 227 were in time.
+//! The first arrival of a request that crashes every server that runs it, with real processes. One call goes to a server
+//! of each shard at once, these crash within some milliseconds, and retries before the cause is known crash the other
+//! server of each shard too. On 14 servers and seven nodes, where a share of 0.03 of one kind of request crashed servers,
+//! the first one took down nearly the whole service within half a second, and only 39 of the 227 requests of the next
+//! two seconds were answered in time.
 //!
-//! Nobody can know the first time before servers have ended. But the second copy of each shard can live on: at most half of the
-//! service may end, and no shard may lose both of its servers to one request. With real processes.
+//! A first arrival cannot be recognised before servers have crashed, but the second replica of each shard can be
+//! spared: at most half of the service may crash, and no shard may lose both servers to one request.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
@@ -23,10 +23,10 @@
 const NODES: [usize; 2] = [2, 1];
 /// Shards, each with a server in each failure domain.
 const SHARDS: usize = 20;
-/// How long a server runs the request before it ends, and how long it is gone then.
-const ENDS_AFTER_MS: u64 = 10;
-const GONE_FOR_MS: u64 = 60_000;
-/// How long a server works on a harmless request that runs beside it.
+/// How long a server runs the request before it crashes, and how long it is down then.
+const CRASH_DELAY_MS: u64 = 10;
+const DOWN_MS: u64 = 60_000;
+/// How long a server works on a harmless request that runs concurrently.
 const WORK_MS: u64 = 30;
 
 async fn start() -> RouteFleet {
@@ -43,27 +43,27 @@
     };
     let fleet = RouteFleet::start(plan).await.expect("a fleet");
     for server in &fleet.servers {
-        server.state.switches.crash_ms.store(ENDS_AFTER_MS, Ordering::Relaxed);
-        server.state.switches.down_ms.store(GONE_FOR_MS, Ordering::Relaxed);
+        server.state.switches.crash_ms.store(CRASH_DELAY_MS, Ordering::Relaxed);
+        server.state.switches.down_ms.store(DOWN_MS, Ordering::Relaxed);
     }
     fleet
 }
 
-/// Servers that ended under the request, by shard.
-fn count_ended(fleet: &RouteFleet) -> BTreeMap<String, usize> {
-    let mut ended = BTreeMap::new();
+/// The number of servers of each shard that the request crashed.
+fn count_crashed(fleet: &RouteFleet) -> BTreeMap<String, usize> {
+    let mut crashed = BTreeMap::new();
     for server in &fleet.servers {
         let has_run = server.state.runs().iter().any(|run| run.request.path.contains(CRASH_MARK));
-        *ended.entry(server.state.plan.service.to_string()).or_default() += usize::from(has_run);
+        *crashed.entry(server.state.plan.service.to_string()).or_default() += usize::from(has_run);
     }
-    ended
+    crashed
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_first_request_that_ends_its_servers_leaves_every_shard_a_server() {
     let fleet = start().await;
     let mut number = 0;
-    wait_for("whole answers", async || {
+    wait_for("complete answers", async || {
         number += 1;
         let answer = fleet.call(0, Method::GET, "/all/harmless", &format!("well-{number}"), Bytes::new()).await;
         answer
@@ -73,61 +73,65 @@
     let path = format!("/all/{CRASH_MARK}");
     let answer = fleet.call(0, Method::GET, &path, "first", Bytes::new()).await.expect("an answer");
     assert!(answer.status.is_server_error(), "{answer:?}");
-    let ended = count_ended(&fleet);
-    let (all, both) = (ended.values().sum::<usize>(), ended.values().filter(|ended| **ended > 1).count());
-    assert!(all <= SHARDS && both == 0, "{all} of {} servers ended, {both} shards lost both", 2 * SHARDS);
+    let crashed = count_crashed(&fleet);
+    let (all, both) = (crashed.values().sum::<usize>(), crashed.values().filter(|crashed| **crashed > 1).count());
+    assert!(all <= SHARDS && both == 0, "{all} of {} servers crashed, {both} shards lost both", 2 * SHARDS);
 }
 
-/// The harmless request that shows how fast servers answer, until every shard is in its answer.
-async fn wait_well(fleet: &RouteFleet) {
+/// Sends a harmless request until every shard is in its answer, so that the node also measures the servers' latency.
+async fn wait_healthy(fleet: &RouteFleet) {
     let mut number = 0;
-    wait_for("whole answers", async || {
+    wait_for("complete answers", async || {
         number += 1;
         let answer = fleet.call(0, Method::GET, "/all/harmless", &format!("well-{number}"), Bytes::new()).await;
-        answer.is_ok_and(|answer| is_whole(&answer))
+        answer.is_ok_and(|answer| is_complete(&answer))
     })
     .await;
 }
 
-fn is_whole(answer: &CallAnswer) -> bool {
+fn is_complete(answer: &CallAnswer) -> bool {
     answer.status == 200 && answer.headers.get("x-missing-parts").is_none_or(|count| count == "0")
 }
 
-/// Guards against callers that ask again elsewhere at once: until all nodes know of the content, each of their retries ends
-/// the second servers.
+/// Guards against callers that retry at other nodes at once: until all nodes know of the content, each retry would crash
+/// the second server of the shards.
 #[tokio::test(flavor = "multi_thread")]
-async fn retries_at_other_nodes_end_no_further_server() {
+async fn retries_at_other_nodes_crash_no_further_server() {
     let fleet = start().await;
-    wait_well(&fleet).await;
+    wait_healthy(&fleet).await;
     let path = format!("/all/{CRASH_MARK}");
     for node in 0..NODES.iter().sum() {
         let answer = fleet.call(node, Method::GET, &path, &format!("try-{node}"), Bytes::new()).await;
         let answer = answer.expect("an answer");
         assert!(answer.status.is_server_error(), "{answer:?}");
     }
-    let ended = count_ended(&fleet);
-    let (all, both) = (ended.values().sum::<usize>(), ended.values().filter(|ended| **ended > 1).count());
+    let crashed = count_crashed(&fleet);
+    let (all, both) = (crashed.values().sum::<usize>(), crashed.values().filter(|crashed| **crashed > 1).count());
     let lines = fleet.nodes.iter().flat_map(|node| node.logged(&["event=content_"]));
     let lines: String = lines.map(|line| format!("{line}\n")).collect();
-    assert!(all <= SHARDS && both == 0, "{all} of {} servers ended, {both} shards lost both\n{lines}", 2 * SHARDS);
+    assert!(all <= SHARDS && both == 0, "{all} of {} servers crashed, {both} shards lost both\n{lines}", 2 * SHARDS);
 }
 
-/// Guards against blame for what another request did: one that ran beside it is answered, and may be asked again.
+/// Guards against quarantine of a concurrent request: one that runs beside a request that crashes servers is answered
+/// and may be repeated.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_beside_one_that_ends_servers_is_answered_and_not_held_off() {
     let fleet = start().await;
-    wait_well(&fleet).await;
+    wait_healthy(&fleet).await;
     fleet.servers.iter().for_each(|server| server.state.switches.work_ms.store(WORK_MS, Ordering::Relaxed));
     let path = format!("/all/{CRASH_MARK}");
-    let deadly = fleet.call(0, Method::GET, &path, "deadly", Bytes::new());
+    let crashing = fleet.call(0, Method::GET, &path, "deadly", Bytes::new());
     let beside = async {
-        wait_for("the first server that runs it", async || count_ended(&fleet).values().any(|ended| *ended > 0)).await;
+        wait_for("the first server that runs the crashing request", async || {
+            count_crashed(&fleet).values().any(|crashed| *crashed > 0)
+        })
+        .await;
         fleet.call(0, Method::GET, "/all/beside", "beside", Bytes::new()).await
     };
-    let (deadly, beside) = tokio::join!(deadly, beside);
-    assert!(deadly.expect("an answer").status.is_server_error());
+    let (crashing, beside) = tokio::join!(crashing, beside);
+    assert!(crashing.expect("an answer").status.is_server_error());
     let beside = beside.expect("an answer");
-    assert!(is_whole(&beside), "{beside:?}");
+    assert!(is_complete(&beside), "{beside:?}");
     for node in 0..NODES.iter().sum() {
         let again = fleet.call(node, Method::GET, "/all/beside", &format!("again-{node}"), Bytes::new()).await;
         assert_eq!(again.expect("an answer").status, 200);
--- a/crates/lab/tests/routes_evacuations.rs
+++ b/crates/lab/tests/routes_evacuations.rs
@@ -1,4 +1,5 @@
-//! Evacuated failure domains: their servers get nothing, whoever asks and however it was learnt. With real processes.
+//! Evacuation of failure domains with real processes: their servers get no call from any node, from whatever source it
+//! knows of the evacuation.
 
 use std::sync::atomic::Ordering;
 
@@ -10,7 +11,7 @@
 use streamfold_lab::route_fleet::{DOMAINS, RouteFleet, RouteFleetPlan, write_route};
 use streamfold_lab::wait::wait_for;
 
-/// Shards with servers in both failure domains, and one more with a server in the second alone.
+/// Three shards with servers in both failure domains, and one with a server in the second domain only.
 const SHARDS: [&str; 4] = ["s-0", "s-1", "s-2", "lone"];
 
 async fn start(nodes: [usize; 2]) -> RouteFleet {
@@ -33,7 +34,7 @@
     fleet.call(node, Method::GET, path, id, Bytes::new()).await.expect("an answer")
 }
 
-/// Waits until a node has an evacuated failure domain in force, or none.
+/// Waits until the last evacuations that a node applied are these failure domains, or `none`.
 async fn wait_in_force(fleet: &RouteFleet, node: usize, domains: &str) {
     let is_last = || {
         let lines = fleet.nodes[node].logged(&["event=evacuations_in_force"]);
@@ -42,8 +43,8 @@
     wait_for("the evacuation", async || is_last()).await;
 }
 
-/// Calls every route through some nodes while the second failure domain is evacuated: its servers read
-/// nothing, and the shard that has no other is told as missing.
+/// Calls every route through some nodes while the second failure domain is evacuated, and checks that its servers get no
+/// call and that the shard without another server is reported as missing.
 async fn check_evacuated(fleet: &RouteFleet, nodes: &[usize], name: &str) {
     let before = fleet.count_calls_in(1);
     for node in nodes {
@@ -61,7 +62,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_evacuated_failure_domain_gets_nothing_from_any_node_until_it_is_given_back() {
+async fn an_evacuated_failure_domain_gets_no_call_until_the_evacuation_ends() {
     let fleet = start([3, 2]).await;
     let nodes: Vec<usize> = (0..fleet.nodes.len()).collect();
     for round in 0..2 {
@@ -71,7 +72,7 @@
         }
         check_evacuated(&fleet, &nodes, &format!("round-{round}")).await;
         let line = ["event=service_unreachable", &format!("request=lone-round-{round}-0"), "barred=evacuated:1"];
-        wait_for("the line that says why", async || !fleet.nodes[0].logged(&line).is_empty()).await;
+        wait_for("the log line with the reason", async || !fleet.nodes[0].logged(&line).is_empty()).await;
         fleet.evacuate(1, false);
         for node in &nodes {
             wait_in_force(&fleet, *node, "none").await;
@@ -82,7 +83,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn second_calls_and_retries_avoid_an_evacuated_failure_domain() {
+async fn hedges_and_retries_avoid_an_evacuated_failure_domain() {
     let fleet = start([1, 0]).await;
     fleet.evacuate(1, true);
     wait_in_force(&fleet, 0, DOMAINS[1]).await;
@@ -100,7 +101,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_under_way_in_an_evacuated_failure_domain_ends_as_it_is() {
+async fn a_call_in_flight_to_an_evacuated_failure_domain_completes() {
     let fleet = start([1, 0]).await;
     let lone = fleet.servers.iter().find(|server| server.state.plan.service == "lone").expect("a server");
     lone.state.switches.work_ms.store(1_200, Ordering::Relaxed);
@@ -113,7 +114,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_starts_during_an_evacuation_knows_it() {
+async fn a_node_that_starts_during_an_evacuation_applies_it() {
     let mut fleet = start([1, 1]).await;
     fleet.evacuate(1, true);
     for node in 0..2 {
@@ -122,7 +123,7 @@
     fleet.add_node(0, "zone-a-late").await.expect("a node");
     fleet.wait_ready(StatusCode::OK).await.expect("ready");
     check_evacuated(&fleet, &[2], "late").await;
-    // The next one has only the other nodes to ask.
+    // During a store outage the next node can learn of the evacuation only from other nodes.
     fleet.platform.state.faults.outage.store(true, Ordering::Relaxed);
     fleet.add_node(0, "zone-a-later").await.expect("a node");
     fleet.wait_ready(StatusCode::OK).await.expect("ready");
@@ -130,7 +131,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_evacuation_outlasts_an_outage_and_is_found_after_a_lost_history() {
+async fn an_evacuation_outlasts_a_store_outage_and_a_lost_history() {
     let fleet = start([2, 0]).await;
     fleet.evacuate(1, true);
     for node in 0..2 {
@@ -138,7 +139,7 @@
     }
     let outage = &fleet.platform.state.faults.outage;
     outage.store(true, Ordering::Relaxed);
-    // Wakes the waiting watches, which are cut then.
+    // Ends the open watches, which are then cut off.
     fleet.register(0, "ready");
     fleet.platform.state.put_object("other", "thing", json!({}));
     for node in &fleet.nodes {
