--- a/crates/lab/tests/faults.rs
+++ b/crates/lab/tests/faults.rs
@@ -146,7 +146,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn during_a_store_outage_tickets_run_and_callers_keys_are_refused_with_a_ticket() {
+async fn during_a_store_outage_tickets_run_and_idempotency_keys_are_refused_with_a_ticket() {
     let fleet = Fleet::start(plan()).await.expect("a fleet");
     fleet.platform.state.faults.outage.store(true, Ordering::Relaxed);
     let refused = order(&fleet, 0, "own-key").await;
@@ -236,11 +236,11 @@
 async fn malformed_bytes_on_the_peer_port_close_only_their_connection() {
     let fleet = Fleet::start(plan()).await.expect("a fleet");
     let address = fleet.nodes[0].addresses.peers;
-    for malformed in
+    for malformed_bytes in
         [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xff; 64], b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\xff\x07\x07junk"]
     {
         let mut stream = tokio::net::TcpStream::connect(address).await.expect("a connection");
-        stream.write_all(malformed).await.expect("writing");
+        stream.write_all(malformed_bytes).await.expect("writing");
         let mut received = Vec::new();
         let closed = tokio::time::timeout(WAIT_AT_MOST, stream.read_to_end(&mut received)).await;
         assert!(closed.is_ok(), "the connection must be closed");
--- a/crates/lab/tests/relay.rs
+++ b/crates/lab/tests/relay.rs
@@ -132,8 +132,8 @@
     // Of the other nodes, one reads the store and each of the rest follows a running node.
     let follows_running = |position: &usize| {
         let followed = fleet.nodes[*position].logged(&["event=reader_followed"]).pop();
-        let list_entries = paused.iter().map(|paused| format!("reader={} ", fleet.nodes[*paused].name));
-        followed.is_some_and(|line| list_entries.into_iter().all(|name| !line.contains(&name)))
+        let paused_names = paused.iter().map(|paused| format!("reader={} ", fleet.nodes[*paused].name));
+        followed.is_some_and(|line| paused_names.into_iter().all(|name| !line.contains(&name)))
     };
     let is_shared = async || {
         let running: Vec<usize> = (0..NODES).filter(|position| !paused.contains(position)).collect();
--- a/crates/lab/tests/routes.rs
+++ b/crates/lab/tests/routes.rs
@@ -88,7 +88,7 @@
     }
     let runs = server.state.runs();
     assert!(runs.iter().all(|run| run.request.deadline_ms().is_some_and(|left| left > 0.0 && left <= 5000.0)));
-    let results: Vec<String> = runs
+    let received: Vec<String> = runs
         .iter()
         .map(|run| {
             let request = &run.request;
@@ -96,7 +96,7 @@
             format!("{} {}\n{headers}\n{:?}", request.method, request.path, request.body)
         })
         .collect();
-    insta::assert_snapshot!(results.join("\n\n"));
+    insta::assert_snapshot!(received.join("\n\n"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/lab/tests/routes_crashing.rs
+++ b/crates/lab/tests/routes_crashing.rs
@@ -1,8 +1,8 @@
-//! Quarantine with real processes: a request that crashes every server that runs it may be sent again to any node.
-//! Without a memory of its content each repetition goes to a server of every shard and its retries to the others: it
-//! crashed 168 processes in 13 waves of some 40 within half a second, a few seconds after the servers had restarted.
-//! In the log this is `event=call_failed ... failure=connection_lost` of one lookup at twelve servers in 150 ms, and of
-//! a lookup with the same content at six more four seconds later.
+//! Quarantine with real processes: a request that crashes every server that runs it may be sent again to any node. If
+//! nodes keep no record of its content, each repetition goes to a server of every shard and its retries to the others.
+//! Such a request crashed 168 processes in 13 waves, each of some 40 within half a second, a few seconds after the
+//! servers had restarted. In the log this is `event=call_failed ... failure=connection_lost` of one lookup at twelve
+//! servers in 150 ms, and of a lookup with the same content at six more four seconds later.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
--- a/crates/lab/tests/routes_deadly.rs
+++ b/crates/lab/tests/routes_deadly.rs
@@ -1,8 +1,8 @@
-//! The first arrival of a request that crashes every server that runs it, with real processes. One call goes to a server
-//! of each shard at once, these crash within some milliseconds, and retries before the cause is known crash the other
-//! server of each shard too. On 14 servers and seven nodes, where a share of 0.03 of one kind of request crashed servers,
-//! the first one took down nearly the whole service within half a second, and only 39 of the 227 requests of the next
-//! two seconds were answered in time.
+//! The first arrival of a request that crashes every server that runs it, with real processes. One call goes to a
+//! server of each shard at once, these crash within some milliseconds, and retries before the cause is known crash the
+//! other server of each shard too. On 14 servers and seven nodes, where a share of 0.03 of one kind of request crashed
+//! servers, the first one took down nearly the whole service within half a second, and only 39 of the 227 requests of
+//! the next two seconds were answered in time.
 //!
 //! A first arrival cannot be recognised before servers have crashed, but the second replica of each shard can be
 //! spared: at most half of the service may crash, and no shard may lose both servers to one request.
@@ -93,8 +93,8 @@
     answer.status == 200 && answer.headers.get("x-missing-parts").is_none_or(|count| count == "0")
 }
 
-/// Guards against callers that retry at other nodes at once: until all nodes know of the content, each retry would crash
-/// the second server of the shards.
+/// Guards against callers that retry at other nodes at once: until all nodes know of the content, each retry would
+/// crash the second server of the shards.
 #[tokio::test(flavor = "multi_thread")]
 async fn retries_at_other_nodes_crash_no_further_server() {
     let fleet = start().await;
--- a/crates/lab/tests/routes_entry.rs
+++ b/crates/lab/tests/routes_entry.rs
@@ -12,7 +12,7 @@
 
 /// How long the unresponsive server delays each answer: longer than a test.
 const STALL_MS: u64 = 60_000;
-/// Unanswered requests, more than it takes until a server is avoided for longer than the patience of a request.
+/// Unanswered requests: some more than it takes until a server is avoided for longer than a request may wait.
 const REQUESTS: usize = 12;
 
 /// Starts a fleet of two shards with a server each: `/all/` needs both and has priority 1, `/some/` needs one and has
--- a/crates/lab/tests/routes_evacuations.rs
+++ b/crates/lab/tests/routes_evacuations.rs
@@ -43,8 +43,8 @@
     wait_for("the evacuation", async || is_last()).await;
 }
 
-/// Calls every route through some nodes while the second failure domain is evacuated, and checks that its servers get no
-/// call and that the shard without another server is reported as missing.
+/// Calls every route through some nodes while the second failure domain is evacuated, and checks that its servers get
+/// no call and that the shard without another server is reported as missing.
 async fn check_evacuated(fleet: &RouteFleet, nodes: &[usize], name: &str) {
     let before = fleet.count_calls_in(1);
     for node in nodes {
--- a/crates/lab/tests/routes_handshake.rs
+++ b/crates/lab/tests/routes_handshake.rs
@@ -1,5 +1,5 @@
-//! Checks with real processes and sockets that the TCP handshake of a caller's connection counts towards the time of its
-//! first request.
+//! Checks with real processes and sockets that the TCP handshake of a caller's connection counts towards the time of
+//! its first request.
 
 use std::net::SocketAddr;
 
--- a/crates/lab/tests/routes_herd.rs
+++ b/crates/lab/tests/routes_herd.rs
@@ -1,7 +1,7 @@
-//! Thundering herd of nodes that restart together, with real processes. When each of 985 nodes listed all nodes from the
-//! store, the answers queued so long that the first nodes had no servers after 1.2 s and every node listed all servers
-//! too: nothing was served for five seconds. The listings of a start must grow with the failure domains, not with the
-//! nodes.
+//! Thundering herd of nodes that restart together, with real processes. When each of 985 nodes listed all nodes from
+//! the store, the answers queued so long that the first nodes had no servers after 1.2 s and every node listed all
+//! servers too: nothing was served for five seconds. The listings of a start must grow with the failure domains, not
+//! with the nodes.
 
 use std::sync::atomic::Ordering;
 
--- a/crates/lab/tests/routes_homes.rs
+++ b/crates/lab/tests/routes_homes.rs
@@ -1,4 +1,5 @@
-//! Routes bound to regions: whatever way a request takes, no server outside them sees it. With real processes.
+//! Routes bound to regions, with real processes: no server outside the allowed regions gets a request, whichever path
+//! it takes.
 
 use std::sync::atomic::Ordering;
 
@@ -11,12 +12,12 @@
 use streamfold_lab::wait::wait_for;
 
 const SHARDS: [&str; 4] = ["s-0", "s-1", "s-2", "s-3"];
-/// The region of the first failure domain, and that of the other one.
+/// The regions of the first and the second failure domain.
 const NORTH: &str = REGIONS[0];
 const SOUTH: &str = REGIONS[1];
 
-/// A service and shards with servers in both failure domains, and a node in each. Every route is bound
-/// to one region.
+/// Starts a fleet with a service and shards that have servers in both failure domains, and a node in each. Every route
+/// is bound to one region.
 async fn start_bound(region: &str) -> RouteFleet {
     let mut servers = vec![near("i-0", "cart"), far("i-1", "cart")];
     for shard in SHARDS {
@@ -38,7 +39,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_go_to_servers_in_their_homes_alone_from_inside_and_outside() {
+async fn requests_go_only_to_servers_in_the_allowed_regions_from_any_node() {
     for (region, outside) in [(NORTH, 1), (SOUTH, 0)] {
         let fleet = start_bound(region).await;
         for number in 0..20 {
@@ -58,17 +59,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn retries_and_second_calls_stay_in_the_homes() {
+async fn retries_and_hedges_stay_in_the_allowed_regions() {
     let fleet = start_bound(NORTH).await;
-    let there: Vec<_> = fleet.servers.iter().filter(|server| server.state.plan.domain == DOMAINS[0]).collect();
-    for server in &there {
+    let in_region: Vec<_> = fleet.servers.iter().filter(|server| server.state.plan.domain == DOMAINS[0]).collect();
+    for server in &in_region {
         server.state.switches.refuse.store(true, Ordering::Relaxed);
     }
     for node in 0..2 {
         assert_eq!(call(&fleet, node, "/any/x", &format!("refused-{node}")).await.status, 503);
         assert_ne!(call(&fleet, node, "/all/x", &format!("all-refused-{node}")).await.status, 200);
     }
-    for server in &there {
+    for server in &in_region {
         server.state.switches.refuse.store(false, Ordering::Relaxed);
         server.state.switches.lose_answer.store(true, Ordering::Relaxed);
     }
@@ -76,7 +77,7 @@
         assert_eq!(call(&fleet, node, "/any/x", &format!("lost-{node}")).await.status, 502);
         assert_ne!(call(&fleet, node, "/all/x", &format!("all-lost-{node}")).await.status, 200);
     }
-    for server in &there {
+    for server in &in_region {
         server.state.switches.lose_answer.store(false, Ordering::Relaxed);
         server.state.switches.pause_ms.store(30_000, Ordering::Relaxed);
     }
@@ -87,35 +88,35 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn taking_over_from_a_silent_node_stays_in_the_homes() {
+async fn a_takeover_from_an_unresponsive_node_stays_in_the_allowed_regions() {
     let fleet = start_bound(SOUTH).await;
     wait_delegated(&fleet, 4).await;
     pause_process(&fleet.nodes[1].process).await;
     let (_, ()) = tokio::join!(get(&fleet, "/all/x", "r-silent"), async {
         let event = ["event=batch_overdue", "request=r-silent"];
-        wait_for("the takeover", async || !fleet.nodes[0].logged(&event).is_empty()).await;
+        wait_for("the takeover of the batch", async || !fleet.nodes[0].logged(&event).is_empty()).await;
     });
     send_signal(&fleet.nodes[1].process, "CONT").await;
     assert_eq!(fleet.count_calls_in(0), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_a_server_in_the_homes_a_request_is_refused_at_once_and_the_log_says_why() {
+async fn without_a_server_in_the_allowed_regions_a_request_is_refused_at_once_with_a_logged_reason() {
     let fleet = start_bound("west").await;
-    let mut seen = Vec::new();
+    let mut results = Vec::new();
     for path in ["/any/x", "/all/x"] {
-        seen.push(format!("{path}: {}", tell_refusal(&get(&fleet, path, "r-0").await)));
+        results.push(format!("{path}: {}", tell_refusal(&get(&fleet, path, "r-0").await)));
     }
-    insta::assert_snapshot!(seen.join("\n"));
+    insta::assert_snapshot!(results.join("\n"));
     assert_eq!(fleet.count_calls_in(0) + fleet.count_calls_in(1), 0);
     for event in ["event=service_unreachable", "event=coverage_unreachable"] {
         let line = [event, "request=r-0", "barred=outside_homes:2"];
-        wait_for("the line that says why", async || !fleet.nodes[0].logged(&line).is_empty()).await;
+        wait_for("the log line with the reason", async || !fleet.nodes[0].logged(&line).is_empty()).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_of_homes_is_in_force_for_every_request_after_it() {
+async fn a_change_of_allowed_regions_applies_to_every_later_request() {
     let fleet = start_bound(NORTH).await;
     check_own(&fleet, &get(&fleet, "/any/x", "r-before").await, "r-before");
     fleet.put_document(2, &write_routes(&[SOUTH]));
@@ -130,5 +131,5 @@
             assert_eq!(call(&fleet, node, "/all/x", &format!("all-{node}-{number}")).await.status, 200);
         }
     }
-    assert_eq!(fleet.count_calls_in(0), before, "the former homes get nothing more");
+    assert_eq!(fleet.count_calls_in(0), before, "no call goes to the former region");
 }
--- a/crates/lab/tests/routes_news.rs
+++ b/crates/lab/tests/routes_news.rs
@@ -1,4 +1,5 @@
-//! News of the store: newer routes, servers that come, leave and go, also behind a cut watch. With real processes.
+//! Updates from the store, with real processes: newer routes, and servers that register, drain and disappear, including
+//! changes behind a watch that was cut off.
 
 use std::sync::atomic::Ordering;
 
@@ -10,7 +11,7 @@
 use streamfold_lab::wait::{WAIT_AT_MOST, wait_for};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn newer_routes_are_taken_and_older_ones_never() {
+async fn newer_routes_are_applied_and_older_ones_never() {
     let servers = vec![near("i-0", "old"), near("i-1", "new")];
     let route = |service: &str| vec![write_route("any", "/any/", &to_service(service))];
     let plan = RouteFleetPlan { nodes: [2, 1], servers, routes: route("old"), ..RouteFleetPlan::default() };
@@ -27,7 +28,7 @@
         })
         .await;
     }
-    // The older version, and behind it an entry that shows that both were seen.
+    // The older version, followed by an unreadable entry whose log line shows that both were read.
     fleet.put_document(7, &route("old"));
     fleet.platform.state.put_object("config", "main", json!({ "version": "not a number" }));
     for node in &fleet.nodes {
@@ -40,10 +41,10 @@
             fleet.call(number % fleet.nodes.len(), Method::GET, "/any/x", &id, Bytes::new()).await.expect("an answer");
         check_own(&fleet, &answer, &id);
     }
-    assert_eq!(fleet.servers[0].state.calls().len(), before, "nothing goes by the older routes");
+    assert_eq!(fleet.servers[0].state.calls().len(), before, "no request follows the older routes");
 }
 
-/// Waits until a path behind a new route answers.
+/// Waits until a path of a new route answers.
 async fn wait_for_route(fleet: &RouteFleet, path: &str) {
     let mut number = 0;
     wait_for("the new route", async || {
@@ -52,7 +53,7 @@
         let answer = get(fleet, path, &id).await;
         match answer.status.as_u16() {
             200 => true,
-            // Not yet known, or not sure that there is none.
+            // The route is not known yet, or the node cannot rule out that there is one.
             404 | 503 => false,
             _ => panic!("{path}: {answer:?}"),
         }
@@ -61,11 +62,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_forgotten_history_and_a_cut_watch_hide_no_change() {
+async fn no_change_is_lost_to_a_dropped_history_or_a_cut_off_watch() {
     let fleet = start_single().await;
     let mut routes = vec![write_route("any", "/any/", &to_service("cart"))];
     for round in 0..3 {
-        // The change lies in the forgotten part, or in the time of the outage.
+        // The change is in the dropped part of the history here, and made during an outage below.
         routes.push(write_route(&format!("more-{round}"), &format!("/more-{round}/"), &to_service("cart")));
         fleet.put_document(10 + round, &routes);
         fleet.platform.state.forget_history();
@@ -74,7 +75,7 @@
     let outage = &fleet.platform.state.faults.outage;
     for round in 3..6 {
         outage.store(true, Ordering::Relaxed);
-        // Wakes the waiting watches, which are cut then.
+        // Ends the open watches, which are then cut off.
         routes.push(write_route(&format!("more-{round}"), &format!("/more-{round}/"), &to_service("cart")));
         fleet.put_document(10 + round, &routes);
         if round % 2 == 0 {
@@ -88,7 +89,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn servers_that_came_and_went_behind_a_cut_watch_are_known_after() {
+async fn a_server_that_drains_behind_a_cut_off_watch_gets_no_call_afterwards() {
     let fleet = start_pair().await;
     let outage = &fleet.platform.state.faults.outage;
     let reads = &fleet.platform.state.calls.reads;
@@ -96,7 +97,7 @@
     outage.store(true, Ordering::Relaxed);
     fleet.register(0, "draining");
     wait_for("the cut watch", async || !fleet.nodes[0].logged(&["event=feed_lost", "topic=servers"]).is_empty()).await;
-    // A watch that was cut may hide changes, so everything is listed.
+    // Changes may be missing from a watch that was cut off, so the node lists everything again.
     wait_for("a listing", async || reads.load(Ordering::Relaxed) > listed).await;
     outage.store(false, Ordering::Relaxed);
     wait_for("the leaving server", async || !fleet.nodes[0].logged(&["event=server_leaving"]).is_empty()).await;
@@ -109,7 +110,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_server_finishes_what_it_has_and_gets_nothing_new() {
+async fn a_draining_server_finishes_its_requests_and_gets_no_new_ones() {
     let fleet = start_pair().await;
     fleet.servers[0].state.switches.work_ms.store(3_000, Ordering::Relaxed);
     fleet.servers[1].state.switches.refuse.store(true, Ordering::Relaxed);
@@ -141,10 +142,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_without_an_entry_is_used_only_where_there_is_no_other() {
+async fn a_server_without_an_entry_is_used_only_if_there_is_no_other() {
     let fleet = start_pair().await;
     fleet.unregister(0);
-    wait_for("the entry gone", async || !fleet.nodes[0].logged(&["event=server_doubtful"]).is_empty()).await;
+    wait_for("the removal of the entry", async || !fleet.nodes[0].logged(&["event=server_doubtful"]).is_empty()).await;
     let before = fleet.servers[0].state.calls().len();
     for number in 0..20 {
         let id = format!("r-{number}");
@@ -153,7 +154,7 @@
     assert_eq!(fleet.servers[0].state.calls().len(), before);
     let fleet = start_single().await;
     fleet.unregister(0);
-    wait_for("the entry gone", async || {
+    wait_for("the removal of the entry", async || {
         let is_gone = !fleet.nodes[0].logged(&["event=server_doubtful"]).is_empty();
         if !is_gone {
             check_own(&fleet, &get(&fleet, "/any/x", "r-alone").await, "r-alone");
@@ -161,7 +162,7 @@
         is_gone
     })
     .await;
-    wait_for("an end of the doubt", async || {
+    wait_for("the end of the grace period", async || {
         let answer = get(&fleet, "/any/x", "r-after").await;
         match answer.status.as_u16() {
             200 => false,
@@ -173,7 +174,7 @@
     let calls = fleet.servers[0].state.calls().len();
     assert_eq!(get(&fleet, "/any/x", "r-late").await.status, 503);
     assert_eq!(fleet.servers[0].state.calls().len(), calls);
-    // Its entry comes back, and so does it.
+    // The server is used again once its entry is back.
     fleet.register(0, "ready");
     wait_for("the server again", async || get(&fleet, "/any/x", "r-again").await.status == 200).await;
 }
--- a/crates/lab/tests/routes_owners.rs
+++ b/crates/lab/tests/routes_owners.rs
@@ -1,5 +1,5 @@
-//! Nodes of very different size: the strong ones query the shards for the weak ones, as long as they
-//! can be reached. With real processes.
+//! Delegation between nodes of very different CPU shares, with real processes: strong nodes query shards for weak ones
+//! as long as they can be reached.
 
 use std::collections::HashMap;
 
@@ -11,7 +11,7 @@
 
 /// Shards, all with a server in the failure domain of the nodes.
 const SHARDS: usize = 24;
-/// The node that callers ask, and one ten times as strong.
+/// The node that callers use, and one with ten times its CPU share.
 const WEAK: &str = "zone-a-0";
 const STRONG: &str = "zone-a-1";
 
@@ -27,8 +27,8 @@
         .expect("a fleet")
 }
 
-/// Asks a node's queries until one of them is logged with some texts.
-async fn ask_until(fleet: &RouteFleet, what: &str, texts: &[&str]) {
+/// Sends queries to the first node until its log has a line with all the texts.
+async fn query_until(fleet: &RouteFleet, what: &str, texts: &[&str]) {
     let mut number = 0;
     wait_for(what, async || {
         number += 1;
@@ -40,11 +40,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_weak_node_hands_near_shards_to_a_strong_one_and_goes_on_without_it() {
+async fn a_weak_node_delegates_near_shards_to_a_strong_one_and_continues_without_it() {
     let mut fleet = start_unequal([(WEAK, 0.1)], 1_000).await;
     assert_eq!((fleet.nodes[0].name.as_str(), fleet.nodes[1].name.as_str()), (WEAK, STRONG));
-    let handed = format!("delegated={SHARDS} peers={STRONG}");
-    ask_until(&fleet, "shards at the strong node", &["event=request ", &handed]).await;
+    let delegated = format!("delegated={SHARDS} peers={STRONG}");
+    query_until(&fleet, "shards at the strong node", &["event=request ", &delegated]).await;
     let answer = fleet.call(1, http::Method::GET, "/all/x", "r-strong", bytes::Bytes::new()).await.expect("an answer");
     assert_eq!(answer.status, 200, "{answer:?}");
     wait_for("the strong node's own request", async || {
@@ -54,25 +54,25 @@
     .await;
     send_signal(&fleet.nodes[1].process, "KILL").await;
     fleet.nodes[1].process.wait().await.expect("an end");
-    ask_until(&fleet, "shards asked for alone", &["event=request ", "delegated=0", "answered=24"]).await;
+    query_until(&fleet, "shards asked for alone", &["event=request ", "delegated=0", "answered=24"]).await;
 }
 
-/// Requests made at the same moment.
+/// Requests that are sent at the same moment.
 const BURST: usize = 120;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_strong_node_with_too_much_to_do_says_so_and_every_request_is_answered() {
-    // A batch of 24 shards counts as 25 ms of work at so small a share, and may wait as long.
+async fn an_overloaded_strong_node_refuses_batches_and_every_request_is_answered() {
+    // A batch of 24 shards counts as 25 ms of work at so small a CPU share, and may queue as long.
     let fleet = start_unequal([(WEAK, 0.005), (STRONG, 0.05)], 150).await;
-    let handed = format!("delegated={SHARDS} peers={STRONG}");
-    ask_until(&fleet, "shards at the strong node", &["event=request ", &handed]).await;
+    let delegated = format!("delegated={SHARDS} peers={STRONG}");
+    query_until(&fleet, "shards at the strong node", &["event=request ", &delegated]).await;
     let ids: Vec<String> = (0..BURST).map(|number| format!("r-burst-{number}")).collect();
     let answers = futures_util::future::join_all(ids.iter().map(|id| get(&fleet, "/all/x", id))).await;
     for (answer, id) in answers.iter().zip(&ids) {
         assert_eq!(answer.status, 200, "{id}: {answer:?}");
     }
     wait_for("refused batches", async || !fleet.nodes[1].logged(&["event=batch_refused"]).is_empty()).await;
-    // A shard that a node did not take runs once all the same.
-    let twice = ids.iter().filter(|id| fleet.count_runs(id) > SHARDS * 2).count();
-    assert_eq!(twice, 0, "requests that ran on more than two servers of some shard");
+    // A shard of a refused batch still runs only once.
+    let exceeding = ids.iter().filter(|id| fleet.count_runs(id) > SHARDS * 2).count();
+    assert_eq!(exceeding, 0, "requests that ran on more than two servers of some shard");
 }
--- a/crates/lab/tests/routes_pauses.rs
+++ b/crates/lab/tests/routes_pauses.rs
@@ -1,4 +1,5 @@
-//! Nodes that are paused with work of another node, and go on: what is tried elsewhere, what runs. With real processes.
+//! Nodes that are paused with delegated work and resume, with real processes: which calls are retried elsewhere and
+//! which still run.
 
 use std::sync::atomic::Ordering;
 
@@ -9,26 +10,32 @@
 use streamfold_lab::wait::wait_for;
 use streamfold_standin::server::RouteServer;
 
-/// What a request meets.
-struct SilentPlan {
-    /// Servers of each shard near the other node, several as while one replaces another.
+/// The servers of a fleet and the time limits of its requests.
+struct UnresponsivePlan {
+    /// Servers of each shard in the other node's failure domain; several, as during a rolling replacement.
     servers: usize,
-    /// How long it may take, and should.
+    /// The time-out and the target latency of a request.
     timeout_ms: u64,
     target_ms: u64,
 }
 
-/// Two nodes, of which the second is asked for all shards by the first; their servers read requests and do not answer.
-async fn start_silent(shards: &[&'static str], silent: SilentPlan, settings: &'static str) -> RouteFleet {
-    let servers =
-        shards.iter().flat_map(|shard| (0..silent.servers).map(move |number| far(&format!("{shard}-{number}"), shard)));
+/// Starts two nodes, of which the first delegates all shards to the second; the servers read requests and do not
+/// answer.
+async fn start_unresponsive(
+    shards: &[&'static str],
+    unresponsive: UnresponsivePlan,
+    settings: &'static str,
+) -> RouteFleet {
+    let servers = shards
+        .iter()
+        .flat_map(|shard| (0..unresponsive.servers).map(move |number| far(&format!("{shard}-{number}"), shard)));
     let gather = json!({ "gather": shards, "topK": 7, "minCoverage": 0.5, "maxAttempts": 2,
-        "timeoutMs": silent.timeout_ms, "targetLatencyMs": silent.target_ms });
+        "timeoutMs": unresponsive.timeout_ms, "targetLatencyMs": unresponsive.target_ms });
     let routes = vec![write_route("all", "/all/", &gather)];
     let plan =
         RouteFleetPlan { nodes: [1, 1], servers: servers.collect(), routes, settings, ..RouteFleetPlan::default() };
     let fleet = RouteFleet::start(plan).await.expect("a fleet");
-    // First whole, until the other node is asked for shards.
+    // Servers answer until the first node delegates the shards.
     wait_delegated(&fleet, shards.len()).await;
     for server in &fleet.servers {
         server.state.switches.pause_ms.store(30_000, Ordering::Relaxed);
@@ -36,35 +43,37 @@
     fleet
 }
 
-/// The servers of a shard that read a request.
-fn count_asked(fleet: &RouteFleet, shard: &str, id: &str) -> usize {
-    let asked = |server: &&RouteServer| server.state.calls().iter().any(|call| call.id() == id);
-    fleet.servers.iter().filter(|server| server.state.plan.service == shard).filter(asked).count()
+/// The number of servers of a shard that read a request.
+fn count_called(fleet: &RouteFleet, shard: &str, id: &str) -> usize {
+    let is_called = |server: &&RouteServer| server.state.calls().iter().any(|call| call.id() == id);
+    fleet.servers.iter().filter(|server| server.state.plan.service == shard).filter(is_called).count()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn taking_over_from_a_silent_node_asks_no_further_servers() {
+async fn a_takeover_from_an_unresponsive_node_calls_no_further_servers() {
     const SHARDS: [&str; 4] = ["s-0", "s-1", "s-2", "s-3"];
-    let fleet = start_silent(&SHARDS, SilentPlan { servers: 5, timeout_ms: 2_500, target_ms: 1_000 }, "").await;
+    let fleet =
+        start_unresponsive(&SHARDS, UnresponsivePlan { servers: 5, timeout_ms: 2_500, target_ms: 1_000 }, "").await;
     let id = "r-silent";
     let (answer, ()) = tokio::join!(get(&fleet, "/all/x", id), async {
-        // The other node has hedged every shard; then it falls silent for good.
-        wait_for("the hedges", async || SHARDS.iter().all(|shard| count_asked(&fleet, shard, id) == 2)).await;
+        // Once the other node has hedged every shard, it stops responding.
+        wait_for("the hedges", async || SHARDS.iter().all(|shard| count_called(&fleet, shard, id) == 2)).await;
         pause_process(&fleet.nodes[1].process).await;
         let event = ["event=batch_overdue", "request=r-silent"];
-        wait_for("the takeover", async || !fleet.nodes[0].logged(&event).is_empty()).await;
+        wait_for("the takeover of the batch", async || !fleet.nodes[0].logged(&event).is_empty()).await;
     });
     send_signal(&fleet.nodes[1].process, "CONT").await;
     assert_ne!(answer.status, 200, "{answer:?}");
-    let asked = SHARDS.map(|shard| count_asked(&fleet, shard, id));
-    assert_eq!(asked, [2; 4], "servers of each shard that read the request");
+    let counts = SHARDS.map(|shard| count_called(&fleet, shard, id));
+    assert_eq!(counts, [2; 4], "servers of each shard that read the request");
 }
 
-/// Holds a batch up at a paused node until the asking node's log has an event of its request; how many
-/// servers of each of three shards read the request then, and what the logs of both nodes say of it.
-async fn hold_up_a_batch(settings: &'static str, event: &str) -> ([usize; 3], Vec<String>) {
+/// Delays a batch at a paused node until the log of the requesting node has an event of its request. Returns how many
+/// servers of each of three shards read the request, and the lines of the request in the logs of both nodes.
+async fn delay_batch(settings: &'static str, event: &str) -> ([usize; 3], Vec<String>) {
     const SHARDS: [&str; 3] = ["s-0", "s-1", "s-2"];
-    let fleet = start_silent(&SHARDS, SilentPlan { servers: 3, timeout_ms: 4_000, target_ms: 300 }, settings).await;
+    let fleet =
+        start_unresponsive(&SHARDS, UnresponsivePlan { servers: 3, timeout_ms: 4_000, target_ms: 300 }, settings).await;
     let id = "r-held-up";
     pause_process(&fleet.nodes[1].process).await;
     let (answer, ()) = tokio::join!(get(&fleet, "/all/x", id), async {
@@ -75,42 +84,47 @@
     });
     assert_ne!(answer.status, 200, "{answer:?}");
     let lines = fleet.nodes.iter().flat_map(|node| node.logged(&["request=r-held-up"])).collect();
-    (SHARDS.map(|shard| count_asked(&fleet, shard, id)), lines)
+    (SHARDS.map(|shard| count_called(&fleet, shard, id)), lines)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_batch_that_was_held_up_on_its_way_is_not_begun_any_more() {
-    let (asked, lines) = hold_up_a_batch("without: [dark_domains]\n", "event=batch_failed").await;
+async fn a_delayed_batch_is_not_started() {
+    let (counts, lines) = delay_batch("without: [dark_domains]\n", "event=batch_failed").await;
     assert_eq!(
-        asked, [1; 3],
-        "servers of each shard that read the request: the asking node's own calls alone: {lines:?}"
+        counts, [1; 3],
+        "servers of each shard that read the request: only the requesting node's own calls: {lines:?}"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_batch_of_a_request_that_was_given_up_is_not_begun_any_more() {
-    // The failure domain is taken for dark, so the request ends before the batch's own time-out.
-    let (asked, lines) = hold_up_a_batch("", "event=request ").await;
-    assert!(asked.iter().all(|count| *count <= 1), "the asking node's own calls at most: {asked:?}, {lines:?}");
+    // The failure domain is considered unreachable, so the request ends before the time-out of the batch.
+    let (counts, lines) = delay_batch("", "event=request ").await;
+    assert!(counts.iter().all(|count| *count <= 1), "the requesting node's own calls at most: {counts:?}, {lines:?}");
 }
 
-/// Guards against second calls for a request that was given up while the node did not run: when it goes on, its alarms are
-/// over, and the word that the batch was cancelled is not read yet.
+/// Guards against hedges for a request that was cancelled while the node was paused: when it resumes, its timers have
+/// expired, and the cancellation of the batch has not been read yet.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_batch_that_was_given_up_during_a_pause_gets_no_second_calls_after_it() {
+async fn a_batch_that_was_cancelled_during_a_pause_gets_no_hedges_after_it() {
     const SHARDS: [&str; 3] = ["s-0", "s-1", "s-2"];
-    let fleet = start_silent(&SHARDS, SilentPlan { servers: 3, timeout_ms: 8_000, target_ms: 300 }, "").await;
-    let (id, of_request) = ("r-given-up", "request=r-given-up");
+    let fleet =
+        start_unresponsive(&SHARDS, UnresponsivePlan { servers: 3, timeout_ms: 8_000, target_ms: 300 }, "").await;
+    let (id, request_field) = ("r-given-up", "request=r-given-up");
     let (answer, ()) = tokio::join!(get(&fleet, "/all/x", id), async {
-        wait_for("the first calls", async || SHARDS.iter().all(|shard| count_asked(&fleet, shard, id) == 1)).await;
+        wait_for("the first calls", async || SHARDS.iter().all(|shard| count_called(&fleet, shard, id) == 1)).await;
         pause_process(&fleet.nodes[1].process).await;
-        wait_for("the end of the request", async || !fleet.nodes[0].logged(&["event=request ", of_request]).is_empty())
-            .await;
+        wait_for("the end of the request", async || {
+            !fleet.nodes[0].logged(&["event=request ", request_field]).is_empty()
+        })
+        .await;
         send_signal(&fleet.nodes[1].process, "CONT").await;
-        wait_for("the end of the batch", async || !fleet.nodes[1].logged(&["batch_cancelled", of_request]).is_empty())
-            .await;
+        wait_for("the end of the batch", async || {
+            !fleet.nodes[1].logged(&["batch_cancelled", request_field]).is_empty()
+        })
+        .await;
     });
     assert_ne!(answer.status, 200, "{answer:?}");
-    let hedges = fleet.nodes[1].logged(&["event=call_overdue", of_request, "hedge="]);
+    let hedges = fleet.nodes[1].logged(&["event=call_overdue", request_field, "hedge="]);
     assert!(hedges.is_empty(), "{hedges:?}");
 }
--- a/crates/lab/tests/routes_reborn.rs
+++ b/crates/lab/tests/routes_reborn.rs
@@ -1,5 +1,4 @@
-//! Servers that start again under the ids that they had, and entries that another writer put into the store. With
-//! real processes.
+//! Servers that restart under the same id, and invalid entries from other writers in the store. With real processes.
 
 use std::sync::atomic::Ordering;
 
@@ -17,7 +16,7 @@
     RouteFleet::start(plan).await.expect("a fleet")
 }
 
-/// Waits until a request is served, by the server itself.
+/// Waits until a server answers a request itself.
 async fn wait_served(fleet: &RouteFleet, name: &str) {
     let mut number = 0;
     wait_for("a request to be served", async || {
@@ -40,7 +39,7 @@
     fleet.platform.state.put_object(SERVERS, name, entry);
 }
 
-/// The first server's entry with some fields changed.
+/// The entry of the first server with some fields changed.
 fn changed(fleet: &RouteFleet, fields: &Value) -> Value {
     let mut entry = fleet.servers[0].entry("ready");
     for (name, value) in fields.as_object().expect("fields") {
@@ -50,7 +49,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_draining_server_that_starts_again_under_its_id_serves_again() {
+async fn a_draining_server_that_restarts_under_its_id_serves_again() {
     let fleet = start(1).await;
     wait_served(&fleet, "before").await;
     fleet.register(0, "draining");
@@ -61,12 +60,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_an_older_run_says_late_changes_nothing_of_the_newer_one() {
+async fn a_late_entry_of_an_older_run_does_not_change_the_newer_one() {
     let fleet = start(1).await;
     put(&fleet, "i-0", changed(&fleet, &json!({ "born": FIRST_BORN + 5 })));
     wait_logged(&fleet, &["event=server_restarted", "server=i-0"]).await;
     put(&fleet, "i-0", changed(&fleet, &json!({ "born": FIRST_BORN, "state": "draining" })));
-    // One more change, after which that one was read.
+    // Once this later change is logged, the stale one has been read.
     put(&fleet, "i-late", changed(&fleet, &json!({ "service": "other" })));
     wait_logged(&fleet, &["event=server_seen", "server=i-late"]).await;
     for number in 0..5 {
@@ -77,7 +76,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_starts_again_under_its_id_elsewhere_is_asked_there() {
+async fn a_server_that_restarts_under_its_id_at_another_address_is_called_there() {
     let mut fleet = start(2).await;
     let moved = fleet.servers.remove(1);
     fleet.unregister(0);
@@ -86,7 +85,7 @@
     let address = entry["address"].clone();
     put(&fleet, "i-0", changed(&fleet, &json!({ "address": address, "born": FIRST_BORN + 5 })));
     fleet.platform.state.remove_object(SERVERS, "i-1");
-    wait_for("a call there", async || {
+    wait_for("a call at the new address", async || {
         get(&fleet, "/any/x", "r-moved").await;
         moved.state.calls().iter().any(|call| call.header("x-target-instance") == Some("i-0"))
     })
@@ -94,9 +93,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_of_another_writer_name_no_server_to_use_and_the_others_hold() {
+async fn invalid_entries_add_no_server_and_leave_the_others_in_use() {
     let fleet = start(1).await;
-    let bad = [
+    let invalid_fields = [
         json!({ "state": "resting" }),
         json!({ "state": 7 }),
         json!({ "capacity": "8" }),
@@ -107,7 +106,7 @@
         json!({ "warmupLeftMs": "long" }),
         json!({ "service": Value::Null }),
     ];
-    for (number, fields) in bad.iter().enumerate() {
+    for (number, fields) in invalid_fields.iter().enumerate() {
         put(&fleet, &format!("i-bad-{number}"), changed(&fleet, fields));
     }
     for (number, entry) in [json!("text"), json!([1]), json!({}), Value::Null].into_iter().enumerate() {
@@ -122,11 +121,11 @@
     let calls = fleet.servers[0].state.calls();
     assert!(calls.iter().all(|call| call.header("x-target-instance") == Some("i-0")), "{calls:?}");
     assert_eq!(fleet.nodes[0].logged(&["event=server_seen", "server=i-bad"]), Vec::<String>::new());
-    assert!(fleet.nodes[0].logged(&["event=entry_unreadable"]).len() >= bad.len());
+    assert!(fleet.nodes[0].logged(&["event=entry_unreadable"]).len() >= invalid_fields.len());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_good_entry_that_is_overwritten_by_a_bad_one_is_out_of_use_until_the_next_good_one() {
+async fn a_server_whose_entry_becomes_invalid_is_out_of_use_until_the_next_valid_one() {
     let fleet = start(1).await;
     wait_served(&fleet, "before").await;
     put(&fleet, "i-0", changed(&fleet, &json!({ "state": "resting" })));
--- a/crates/lab/tests/routes_servers.rs
+++ b/crates/lab/tests/routes_servers.rs
@@ -1,4 +1,5 @@
-//! Servers that fail, refuse, hang or answer for others: what is tried, what runs, what callers learn. With real processes.
+//! Servers that fail, refuse, hang or answer for others, with real processes: which calls are retried, what runs and
+//! what callers are told.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,10 +14,10 @@
 use tokio::net::TcpStream;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paused_server_is_gone_round() {
+async fn a_paused_server_is_avoided() {
     let fleet = start_pair().await;
     fleet.servers[0].state.switches.pause_ms.store(30_000, Ordering::Relaxed);
-    wait_for("a request that met the paused server", async || {
+    wait_for("a request that reached the paused server", async || {
         let id = format!("r-{}", fleet.servers[1].state.runs().len());
         check_own(&fleet, &get(&fleet, "/any/x", &id).await, &id);
         !fleet.servers[0].state.calls().is_empty()
@@ -26,17 +27,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_tells_a_slow_pace_is_left_for_a_far_one() {
+async fn a_far_server_is_preferred_to_one_that_reports_a_slow_pace() {
     let fleet = start_pair().await;
     for server in &fleet.servers {
         server.state.switches.work_ms.store(20, Ordering::Relaxed);
     }
-    // Until the node knows what a call usually takes.
+    // Until the node knows the usual latency of a call.
     for number in 0..30 {
         let id = format!("usual-{number}");
         check_own(&fleet, &get(&fleet, "/any/x", &id).await, &id);
     }
-    assert!(fleet.servers[1].state.calls().is_empty(), "the near server is the better one");
+    assert!(fleet.servers[1].state.calls().is_empty(), "the near server is preferred");
     fleet.servers[0].state.pace.store(2_000, Ordering::Relaxed);
     let mut number = 0;
     wait_for("a request at the far server", async || {
@@ -59,7 +60,7 @@
         assert_eq!(fleet.count_runs(&id), 1);
     }
     assert_eq!(fleet.servers[0].state.calls().len(), 1);
-    // Not even where the only other server refuses.
+    // Not even when the only other server refuses.
     fleet.servers[1].state.switches.refuse.store(true, Ordering::Relaxed);
     for path in ["/any/x", "/once/x"] {
         assert_eq!(get(&fleet, path, "r-refused").await.status, 503);
@@ -78,24 +79,24 @@
             check_own(&fleet, &get(&fleet, path, &id).await, &id);
             assert_eq!(fleet.count_runs(&id), 1);
         }
-        assert_eq!(fleet.servers[0].state.calls()[0].id(), "r-0", "the near server is asked first");
+        assert_eq!(fleet.servers[0].state.calls()[0].id(), "r-0", "the near server is called first");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn when_all_servers_refuse_the_caller_learns_that_it_did_not_run() {
+async fn when_all_servers_refuse_the_caller_is_told_that_the_request_did_not_run() {
     let fleet = start_pair().await;
     for server in &fleet.servers {
         server.state.switches.refuse.store(true, Ordering::Relaxed);
     }
-    let mut seen = Vec::new();
+    let mut results = Vec::new();
     for (path, id) in [("/any/x", "r-any"), ("/once/x", "r-once")] {
         let answer = get(&fleet, path, id).await;
-        seen.push(format!("{path}: {}", tell_refusal(&answer)));
+        results.push(format!("{path}: {}", tell_refusal(&answer)));
         assert!(fleet.count_calls(id) > 0);
         assert_eq!(fleet.count_runs(id), 0);
     }
-    insta::assert_snapshot!(seen.join("\n"));
+    insta::assert_snapshot!(results.join("\n"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -122,7 +123,7 @@
     }
     let answer = get(&fleet, "/any/x", "r-any").await;
     assert_eq!(answer.status, 502, "{answer:?}");
-    assert_eq!(fleet.count_calls("r-any"), 2, "a repeatable one goes to the other server too");
+    assert_eq!(fleet.count_calls("r-any"), 2, "a repeatable request goes to the other server too");
     let fleet = start_single().await;
     let switches = &fleet.servers[0].state.switches;
     for (name, fault) in
@@ -135,7 +136,7 @@
     }
 }
 
-/// The servers that ran a request.
+/// The number of servers that ran a request.
 fn count_runners(fleet: &RouteFleet, id: &str) -> usize {
     let ran = |server: &&RouteServer| server.state.runs().iter().any(|run| run.request.id() == id);
     fleet.servers.iter().filter(ran).count()
@@ -152,7 +153,7 @@
     let fleet = RouteFleet::start(RouteFleetPlan { nodes: [1, 1], servers, routes, ..RouteFleetPlan::default() })
         .await
         .expect("a fleet");
-    // First whole, until the other node is asked for shards.
+    // Servers answer until the first node delegates the shards.
     wait_delegated(&fleet, 2).await;
     for server in &fleet.servers {
         server.state.switches.wrong_id.store(true, Ordering::Relaxed);
@@ -172,20 +173,20 @@
     let mut fleet = start_pair().await;
     let addresses: Vec<SocketAddr> = fleet.servers.iter().map(|server| server.address).collect();
     fleet.servers.clear();
-    // The stand-ins' tasks end a moment after they were told to. Until then a port takes connections, and what
-    // was sent on one of those may have run.
+    // The tasks of the stand-ins end a moment after they are dropped. Until then a port accepts connections, and a
+    // request that was sent on one of them may have run.
     for address in addresses {
         wait_for("a closed port", async || TcpStream::connect(address).await.is_err()).await;
     }
-    let mut seen = Vec::new();
+    let mut results = Vec::new();
     for path in ["/any/x", "/once/x"] {
-        seen.push(format!("{path}: {}", tell_refusal(&get(&fleet, path, "r-0").await)));
+        results.push(format!("{path}: {}", tell_refusal(&get(&fleet, path, "r-0").await)));
     }
-    insta::assert_snapshot!(seen.join("\n"));
+    insta::assert_snapshot!(results.join("\n"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_s_own_failure_is_told_as_it_is() {
+async fn a_failure_answer_of_a_server_is_forwarded_unchanged() {
     let fleet = start_pair().await;
     for server in &fleet.servers {
         server.state.switches.fail.store(true, Ordering::Relaxed);
@@ -205,11 +206,11 @@
     .await;
 }
 
-/// A fault of a server as its switch.
+/// Returns the switch of a server's fault.
 type Fault = fn(&RouteSwitches) -> &AtomicBool;
 
-/// Faults that put bytes on a connection that are not the whole answer to its request.
-const STRANGE_BYTES: [(&str, Fault); 4] = [
+/// Faults that write bytes other than the complete answer to the request on a connection.
+const BYTE_FAULTS: [(&str, Fault); 4] = [
     ("wrong", |switches| &switches.wrong_id),
     ("cut", |switches| &switches.cut_body),
     ("before", |switches| &switches.surplus_first),
@@ -218,20 +219,20 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_of_another_request_never_reaches_a_caller() {
-    for (name, fault) in STRANGE_BYTES {
+    for (name, fault) in BYTE_FAULTS {
         let fleet = start_pair().await;
         fault(&fleet.servers[0].state.switches).store(true, Ordering::Relaxed);
         for number in 0..10 {
             let id = format!("{name}-{number}");
             check_own(&fleet, &get(&fleet, "/any/x", &id).await, &id);
         }
-        assert_eq!(fleet.servers[0].state.calls()[0].id(), format!("{name}-0"), "the near server is asked first");
+        assert_eq!(fleet.servers[0].state.calls()[0].id(), format!("{name}-0"), "the near server is called first");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_of_another_request_is_no_reason_to_run_one_twice() {
-    for (name, fault) in STRANGE_BYTES {
+async fn an_answer_of_another_request_does_not_make_a_request_run_twice() {
+    for (name, fault) in BYTE_FAULTS {
         let fleet = start_pair().await;
         fault(&fleet.servers[0].state.switches).store(true, Ordering::Relaxed);
         for number in 0..10 {
@@ -243,12 +244,12 @@
             }
             assert_eq!(fleet.count_calls(&id), 1, "{id}");
         }
-        assert_eq!(fleet.servers[0].state.calls()[0].id(), format!("{name}-0"), "the near server is asked first");
+        assert_eq!(fleet.servers[0].state.calls()[0].id(), format!("{name}-0"), "the near server is called first");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn with_a_faulty_server_alone_callers_get_no_wrong_bytes() {
+async fn callers_get_no_wrong_bytes_from_a_single_faulty_server() {
     let fleet = start_single().await;
     let switches = &fleet.servers[0].state.switches;
     for (name, fault) in
@@ -266,7 +267,7 @@
     for number in 0..30 {
         let id = format!("after-{number}");
         let answer = get(&fleet, "/any/x", &id).await;
-        // The surplus must cost nothing more than a connection.
+        // Surplus bytes may cost a connection, but no request.
         check_own(&fleet, &answer, &id);
     }
 }
--- a/crates/lab/tests/routes_shards.rs
+++ b/crates/lab/tests/routes_shards.rs
@@ -1,4 +1,4 @@
-//! Requests to every shard: their folds, their coverage, their hedges. With real processes.
+//! Gather requests over all shards, with real processes: merged results, coverage and hedges.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering;
@@ -17,8 +17,8 @@
 
 const SHARDS: [&str; 6] = ["s-0", "s-1", "s-2", "s-3", "s-4", "s-5"];
 
-/// Six shards: the first two near, one of them also far, the others far only. Two shards have
-/// equal records.
+/// Starts a fleet of six shards: the first two have near servers, one of them a far one too, the others only far ones.
+/// Two shards have equal records.
 async fn start_shards() -> RouteFleet {
     let mut servers = vec![near("i-0", "s-0"), near("i-1", "s-1"), far("i-2", "s-1")];
     servers.extend((2..6).map(|shard| far(&format!("i-{}", shard + 1), SHARDS[shard])));
@@ -38,15 +38,15 @@
         .expect("a fleet")
 }
 
-/// The greatest records of some seeds, greatest first.
-fn expect_fold(seeds: &[&str], top: usize) -> Bytes {
+/// The greatest records of the seeds' shards, in descending order.
+fn expected_records(seeds: &[&str], top: usize) -> Bytes {
     let mut records: Vec<_> = seeds.iter().flat_map(|seed| make_records(seed, 8)).collect();
     records.sort_by(|a, b| b.cmp(a));
     records.truncate(top);
     Bytes::from(records.concat())
 }
 
-/// The shards that an answer's proofs name; each must be proven for this request, and once.
+/// The shards that the proofs of an answer name, which must each be proven for this request, and only once.
 fn proven_shards(fleet: &RouteFleet, answer: &CallAnswer, id: &str) -> BTreeSet<String> {
     let values = answer.headers.get_all("x-part-stamps").iter().map(|value| value.to_str().expect("a text"));
     let proofs: Vec<&str> = values.flat_map(|value| value.split(',')).map(str::trim).collect();
@@ -56,57 +56,57 @@
     shards
 }
 
-fn check_whole_fold(fleet: &RouteFleet, answer: &CallAnswer, id: &str) {
+fn check_complete_gather(fleet: &RouteFleet, answer: &CallAnswer, id: &str) {
     assert_eq!(answer.status, 200, "{answer:?}");
     assert_eq!(header(answer, "x-missing-parts").unwrap_or("0"), "0");
     assert_eq!(proven_shards(fleet, answer, id).len(), SHARDS.len());
-    assert_eq!(answer.body, expect_fold(&["s-0", "s-1", "s-2", "s-3", "s-4", "s-4"], 7));
+    assert_eq!(answer.body, expected_records(&["s-0", "s-1", "s-2", "s-3", "s-4", "s-4"], 7));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_query_over_all_shards_is_folded_here_and_at_the_other_node() {
+async fn a_query_over_all_shards_is_gathered_locally_and_at_the_other_node() {
     let fleet = start_shards().await;
     let mut number = 0;
     wait_for("a batch at the other node", async || {
         number += 1;
         let id = format!("r-{number}");
-        check_whole_fold(&fleet, &get(&fleet, "/all/x", &id).await, &id);
+        check_complete_gather(&fleet, &get(&fleet, "/all/x", &id).await, &id);
         !fleet.nodes[0].logged(&["event=request ", "delegated=4"]).is_empty()
     })
     .await;
     let id = "r-far";
     let answer = fleet.call(1, Method::GET, "/all/x", id, Bytes::new()).await.expect("an answer");
-    check_whole_fold(&fleet, &answer, id);
+    check_complete_gather(&fleet, &answer, id);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_missing_shard_is_counted_and_too_few_are_no_success() {
+async fn a_missing_shard_is_counted_and_too_little_coverage_is_refused() {
     let fleet = start_shards().await;
     let answer = get(&fleet, "/gap/x", "r-gap").await;
     assert_eq!((answer.status.as_u16(), header(&answer, "x-missing-parts")), (200, Some("1")), "{answer:?}");
     assert_eq!(proven_shards(&fleet, &answer, "r-gap").len(), 2);
-    assert_eq!(answer.body, expect_fold(&["s-0", "s-1"], 100));
+    assert_eq!(answer.body, expected_records(&["s-0", "s-1"], 100));
     let answer = get(&fleet, "/few/x", "r-few").await;
     assert_eq!(answer.status, 503, "{answer:?}");
     assert!(header(&answer, "retry-after").is_some(), "{answer:?}");
-    assert_eq!(fleet.count_calls("r-few"), 0, "what cannot be answered is not asked for");
+    assert_eq!(fleet.count_calls("r-few"), 0, "no server is called for a request that cannot be answered");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_failing_shard_is_no_part_and_another_server_is_asked() {
+async fn a_failed_answer_is_not_gathered_and_another_server_is_called() {
     let fleet = start_shards().await;
     let failing = &fleet.servers[1].state.switches.fail;
     failing.store(true, Ordering::Relaxed);
     for number in 0..10 {
         let id = format!("r-{number}");
-        check_whole_fold(&fleet, &get(&fleet, "/all/x", &id).await, &id);
+        check_complete_gather(&fleet, &get(&fleet, "/all/x", &id).await, &id);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_hedge_to_a_far_server_goes_through_the_node_near_it() {
     let fleet = start_shards().await;
-    // The near server of a shard that has a far one too.
+    // The near server of a shard that also has a far one.
     fleet.servers[1].state.switches.pause_ms.store(30_000, Ordering::Relaxed);
     let via = format!("via={}", fleet.nodes[1].name);
     let mut number = 0;
@@ -114,7 +114,7 @@
     wait_for("a hedge through the other node", async || {
         number += 1;
         let id = format!("r-{number}");
-        check_whole_fold(&fleet, &get(&fleet, "/all/x", &id).await, &id);
+        check_complete_gather(&fleet, &get(&fleet, "/all/x", &id).await, &id);
         hedged = fleet.nodes[0].logged(&["event=call_overdue", "hedge=i-2", &via]);
         !hedged.is_empty()
     })
@@ -126,8 +126,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_takes_the_calls_of_all_shards_along() {
-    // So high a target that no node tells another anything before the test gives up.
+async fn the_calls_to_all_shards_are_cancelled_when_the_caller_leaves() {
+    // With so high a target latency no node reports anything to another one before the test times out.
     let servers: Vec<RouteServerPlan> = vec![near("i-0", "s-0"), far("i-1", "s-1"), far("i-2", "s-2")];
     let gather = json!({ "gather": ["s-0", "s-1", "s-2"], "topK": 7, "minCoverage": 0.5, "timeoutMs": 700_000,
         "targetLatencyMs": 600_000, "maxAttempts": 1 });
@@ -160,10 +160,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn while_nothing_is_heard_from_a_failure_domain_a_request_that_needs_it_is_refused_at_once() {
-    const LATE: [&str; 4] = ["f-0", "f-1", "f-2", "f-3"];
+async fn a_request_that_needs_an_unreachable_failure_domain_is_refused_at_once() {
+    const FAR_SHARDS: [&str; 4] = ["f-0", "f-1", "f-2", "f-3"];
     let mut servers = vec![near("n-0", "near-0"), near("n-1", "near-1")];
-    servers.extend(LATE.iter().map(|shard| far(&format!("{shard}-f"), shard)));
+    servers.extend(FAR_SHARDS.iter().map(|shard| far(&format!("{shard}-f"), shard)));
     let shards = ["near-0", "near-1", "f-0", "f-1", "f-2", "f-3"];
     let target = |coverage: f64| {
         json!({ "gather": shards, "topK": 7, "minCoverage": coverage, "maxAttempts": 2, "timeoutMs": 2_500,
@@ -172,17 +172,17 @@
     let routes = vec![write_route("most", "/most/", &target(0.6)), write_route("few", "/few/", &target(0.3))];
     let plan = RouteFleetPlan { nodes: [1, 1], servers, routes, ..RouteFleetPlan::default() };
     let fleet = RouteFleet::start(plan).await.expect("a fleet");
-    let set_silent = async |is_silent: bool| {
-        for server in fleet.servers.iter().filter(|server| LATE.contains(&server.state.plan.service.as_str())) {
-            server.state.switches.pause_ms.store(if is_silent { 30_000 } else { 0 }, Ordering::Relaxed);
+    let set_stalled = async |is_stalled: bool| {
+        for server in fleet.servers.iter().filter(|server| FAR_SHARDS.contains(&server.state.plan.service.as_str())) {
+            server.state.switches.pause_ms.store(if is_stalled { 30_000 } else { 0 }, Ordering::Relaxed);
         }
-        match is_silent {
+        match is_stalled {
             true => pause_process(&fleet.nodes[1].process).await,
             false => send_signal(&fleet.nodes[1].process, "CONT").await,
         }
     };
     assert_eq!(get(&fleet, "/most/x", "r-whole").await.status, 200);
-    set_silent(true).await;
+    set_stalled(true).await;
     let mut number = 0;
     wait_for("a refusal", async || {
         number += 1;
@@ -191,18 +191,18 @@
         let is_refused = answer.status == 503;
         if is_refused {
             assert!(header(&answer, "retry-after").is_some());
-            assert_eq!(fleet.count_calls(&id), 0, "{id} was told as not run");
+            assert_eq!(fleet.count_calls(&id), 0, "{id} was reported as not run");
         }
         is_refused
     })
     .await;
     let event = ["event=failure_domain_dark", "failure_domain=zone-b"];
-    wait_for("the line that says why", async || !fleet.nodes[0].logged(&event).is_empty()).await;
-    // What can be served without it is.
+    wait_for("the log line with the reason", async || !fleet.nodes[0].logged(&event).is_empty()).await;
+    // A request that can do without the failure domain is still served.
     let answer = get(&fleet, "/few/x", "r-few").await;
     assert_eq!((answer.status.as_u16(), header(&answer, "x-missing-parts")), (200, Some("4")), "{answer:?}");
-    set_silent(false).await;
-    wait_for("whole answers again", async || {
+    set_stalled(false).await;
+    wait_for("complete answers again", async || {
         number += 1;
         let answer = get(&fleet, "/most/x", &format!("r-{number}")).await;
         answer.status == 200 && header(&answer, "x-missing-parts") == Some("0")
--- a/crates/lab/tests/routes_stop.rs
+++ b/crates/lab/tests/routes_stop.rs
@@ -1,4 +1,4 @@
-//! Ends: of a node that is asked to stop, and of a caller that leaves. With real processes.
+//! Shutdown of nodes and disconnects of callers, with real processes.
 
 use std::sync::atomic::Ordering;
 
@@ -25,7 +25,7 @@
     wait_for("the request in flight", async || fleet.count_runs("r-long") == 1).await;
     send_signal(&fleet.nodes[0].process, "TERM").await;
     fleet.wait_ready(StatusCode::SERVICE_UNAVAILABLE).await.expect("a node that is not ready");
-    // The balancer has not noticed yet, so requests still come.
+    // Requests still arrive until the load balancer notices that the node is not ready.
     fleet.servers[0].state.switches.work_ms.store(0, Ordering::Relaxed);
     check_own(&fleet, &get(&fleet, "/any/x", "r-late").await, "r-late");
     check_own(&fleet, &in_flight.await.expect("a caller").expect("an answer"), "r-long");
@@ -36,27 +36,29 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_resting_connection_is_closed_when_the_node_stops() {
+async fn an_idle_connection_is_closed_when_the_node_stops() {
     let mut fleet = start_single().await;
     let mut caller = TcpStream::connect(fleet.nodes[0].addresses.callers).await.expect("a connection");
     let request = format!("GET /any/x HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: r-0\r\n\r\n");
     caller.write_all(request.as_bytes()).await.expect("a sent request");
-    let mut first = [0; 1];
-    caller.read_exact(&mut first).await.expect("an answer");
+    let mut first_byte = [0; 1];
+    caller.read_exact(&mut first_byte).await.expect("an answer");
     send_signal(&fleet.nodes[0].process, "TERM").await;
-    let mut rest = Vec::new();
-    let closed = tokio::time::timeout(WAIT_AT_MOST, caller.read_to_end(&mut rest)).await;
+    let mut remaining = Vec::new();
+    let closed = tokio::time::timeout(WAIT_AT_MOST, caller.read_to_end(&mut remaining)).await;
     closed.expect("a closed connection").expect("a closed connection");
     let status = tokio::time::timeout(WAIT_AT_MOST, fleet.nodes[0].process.wait()).await;
     assert!(status.expect("an end").expect("a status").success());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_takes_its_call_along() {
-    // Nothing but the caller's leaving ends a call while the test waits.
-    let long = |kind: &str| json!({ "service": "cart", "routeType": kind, "timeoutMs": 120_000 });
-    let routes =
-        vec![write_route("any", "/any/", &long("safe")), write_route("once", "/once/", &long("non_idempotent"))];
+async fn the_call_is_cancelled_when_the_caller_leaves() {
+    // With so long a time-out only the caller's disconnect can end a call while the test waits.
+    let long_route = |kind: &str| json!({ "service": "cart", "routeType": kind, "timeoutMs": 120_000 });
+    let routes = vec![
+        write_route("any", "/any/", &long_route("safe")),
+        write_route("once", "/once/", &long_route("non_idempotent")),
+    ];
     let plan =
         RouteFleetPlan { nodes: [1, 0], servers: vec![near("i-0", "cart")], routes, ..RouteFleetPlan::default() };
     let fleet = RouteFleet::start(plan).await.expect("a fleet");
--- a/crates/lab/tests/routes_teams.rs
+++ b/crates/lab/tests/routes_teams.rs
@@ -1,5 +1,5 @@
-//! Teams: whose key a caller shows, what servers are told of it, and how many requests of a team run. With real
-//! processes.
+//! Teams, with real processes: authentication of callers by key, the team header that servers get, and the rate limit
+//! of a team.
 
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -17,9 +17,9 @@
 const BLUE: &str = "Bearer blue-key-0123456789";
 const RED: &str = "Bearer red-key-0123456789";
 
-/// The key itself, as the operator's document has it.
-fn bare(shown: &'static str) -> &'static str {
-    shown.strip_prefix("Bearer ").expect("a key")
+/// The key without its scheme, as in the operator's document.
+fn strip_scheme(authorization: &'static str) -> &'static str {
+    authorization.strip_prefix("Bearer ").expect("a key")
 }
 
 fn routes() -> Vec<Value> {
@@ -40,30 +40,36 @@
 }
 
 fn both_teams() -> Vec<Value> {
-    vec![write_team("blue", &[bare(BLUE)], None), write_team("red", &[bare(RED)], None)]
+    vec![write_team("blue", &[strip_scheme(BLUE)], None), write_team("red", &[strip_scheme(RED)], None)]
 }
 
 async fn start(teams: Vec<Value>) -> RouteFleet {
     RouteFleet::start(plan(teams)).await.expect("a fleet")
 }
 
-async fn get(fleet: &RouteFleet, node: usize, path: &str, id: &str, more: &[(&'static str, &str)]) -> CallAnswer {
-    fleet.call_with(node, Method::GET, path, id, more, Bytes::new()).await.expect("an answer")
+async fn get(
+    fleet: &RouteFleet,
+    node: usize,
+    path: &str,
+    id: &str,
+    extra_headers: &[(&'static str, &str)],
+) -> CallAnswer {
+    fleet.call_with(node, Method::GET, path, id, extra_headers, Bytes::new()).await.expect("an answer")
 }
 
-/// What servers were told of the team of each request that they read.
-fn told_teams(fleet: &RouteFleet) -> Vec<(String, Vec<String>)> {
+/// The values of the team header of each request that servers read, by request id.
+fn received_teams(fleet: &RouteFleet) -> Vec<(String, Vec<String>)> {
     let calls = fleet.servers.iter().flat_map(|server| server.state.calls());
-    let named = calls.map(|call| {
+    let teams_by_request = calls.map(|call| {
         assert_eq!(call.header(names::KEY), None, "a key reached a server with {}", call.id());
         let teams = call.headers.iter().filter(|(name, _)| name == names::TEAM);
         (call.id().to_owned(), teams.map(|(_, team)| team.clone()).collect())
     });
-    named.collect()
+    teams_by_request.collect()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_ends_at_the_node_and_servers_are_told_the_team() {
+async fn a_key_is_not_forwarded_and_servers_get_the_team() {
     let fleet = start(both_teams()).await;
     let forged = [(names::KEY, BLUE), (names::TEAM, "red"), ("X-Tenant", "green")];
     for node in 0..3 {
@@ -74,14 +80,14 @@
     }
     let answer = get(&fleet, 0, "/open/x", "anybody", &[(names::TEAM, "red")]).await;
     assert_eq!(answer.status, StatusCode::OK);
-    let told = told_teams(&fleet);
-    assert!(told.len() > 12, "{told:?}");
-    for (id, teams) in told {
-        let wanted: &[&str] = if id == "anybody" { &[] } else { &["blue"] };
-        assert_eq!(teams, wanted, "{id}");
+    let requests = received_teams(&fleet);
+    assert!(requests.len() > 12, "{requests:?}");
+    for (id, teams) in requests {
+        let expected: &[&str] = if id == "anybody" { &[] } else { &["blue"] };
+        assert_eq!(teams, expected, "{id}");
     }
     let logged = fleet.nodes.iter().flat_map(|node| node.logged(&["key-0123456789"]));
-    assert_eq!(logged.count(), 0, "a key stands in a log");
+    assert_eq!(logged.count(), 0, "a key is in a log");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -94,15 +100,15 @@
             get(&fleet, 0, path, &format!("r-{number}"), &[(names::KEY, RED)]).await;
         }
     }
-    let told = told_teams(&fleet);
-    assert!(told.iter().all(|(_, teams)| teams == &["red"]), "{told:?}");
+    let requests = received_teams(&fleet);
+    assert!(requests.iter().all(|(_, teams)| teams == &["red"]), "{requests:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn without_a_known_key_a_request_does_not_run() {
     let fleet = start(both_teams()).await;
-    let basic = format!("Basic {}", bare(BLUE));
-    let shown: [(&str, Vec<(&'static str, &str)>); 6] = [
+    let basic = format!("Basic {}", strip_scheme(BLUE));
+    let cases: [(&str, Vec<(&'static str, &str)>); 6] = [
         ("none", vec![]),
         ("unknown", vec![(names::KEY, "Bearer nobody-s-key")]),
         ("another scheme", vec![(names::KEY, &basic)]),
@@ -110,27 +116,27 @@
         ("twice", vec![(names::KEY, BLUE), (names::KEY, BLUE)]),
         ("the team alone", vec![(names::TEAM, "blue")]),
     ];
-    let mut seen = Vec::new();
-    for (name, headers) in &shown {
+    let mut results = Vec::new();
+    for (name, headers) in &cases {
         for path in ["/any/x", "/all/x"] {
             let answer = get(&fleet, 0, path, "r-refused", headers).await;
-            let asks = header(&answer, "www-authenticate").map(str::to_owned);
-            seen.push(format!("{name} {path}: {} {asks:?}", tell_refusal(&answer)));
+            let challenge = header(&answer, "www-authenticate").map(str::to_owned);
+            results.push(format!("{name} {path}: {} {challenge:?}", tell_refusal(&answer)));
         }
     }
-    seen.push(format!("no route: {}", tell_refusal(&get(&fleet, 0, "/nowhere/x", "r-refused", &[]).await)));
-    insta::assert_snapshot!(seen.join("\n"));
+    results.push(format!("no route: {}", tell_refusal(&get(&fleet, 0, "/nowhere/x", "r-refused", &[]).await)));
+    insta::assert_snapshot!(results.join("\n"));
     assert_eq!(fleet.count_calls("r-refused"), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_taken_away_or_moved_counts_no_more_on_open_connections() {
+async fn a_revoked_or_moved_key_takes_effect_on_open_connections() {
     let fleet = start(both_teams()).await;
     for (id, key) in [("r-blue", BLUE), ("r-red", RED)] {
         assert_eq!(get(&fleet, 0, "/any/x", id, &[(names::KEY, key)]).await.status, StatusCode::OK);
     }
-    // Blue has lost all of its keys, and red's is green's now.
-    let teams = [write_team("blue", &[], None), write_team("green", &[bare(RED)], None)];
+    // Blue has lost its key, and red's key now belongs to green.
+    let teams = [write_team("blue", &[], None), write_team("green", &[strip_scheme(RED)], None)];
     fleet.put_teams(2, &routes(), &teams);
     for node in 0..3 {
         wait_for("the end of the key", async || {
@@ -140,68 +146,76 @@
         .await;
         let id = format!("r-moved-{node}");
         assert_eq!(get(&fleet, node, "/any/x", &id, &[(names::KEY, RED)]).await.status, StatusCode::OK);
-        let told = told_teams(&fleet).into_iter().find(|(told, _)| *told == id);
-        assert_eq!(told, Some((id, vec!["green".to_owned()])));
+        let received = received_teams(&fleet).into_iter().find(|(request, _)| *request == id);
+        assert_eq!(received, Some((id, vec!["green".to_owned()])));
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn while_the_store_is_away_keys_stay_or_lose_their_force_by_the_settings() {
+async fn during_a_store_outage_keys_stay_valid_or_expire_by_the_settings() {
     for are_keys_strict in [false, true] {
         let plan = RouteFleetPlan { are_keys_strict, ..plan(both_teams()) };
         let fleet = RouteFleet::start(plan).await.expect("a fleet");
         assert_eq!(get(&fleet, 0, "/any/x", "r-before", &[(names::KEY, BLUE)]).await.status, StatusCode::OK);
         fleet.platform.state.faults.outage.store(true, Ordering::Relaxed);
-        let unfollowed = Instant::now();
+        let outage_start = Instant::now();
         let status = async |path: &str, key: &str| get(&fleet, 0, path, "r-away", &[(names::KEY, key)]).await.status;
         if are_keys_strict {
             wait_for("the end of the keys", async || status("/any/x", BLUE).await == StatusCode::SERVICE_UNAVAILABLE)
                 .await;
         } else {
             tokio::time::sleep(Duration::from_millis(u64::from(REVOKE_MS) * 2)).await;
-            assert_eq!(status("/any/x", BLUE).await, StatusCode::OK, "{:?}", unfollowed.elapsed());
+            assert_eq!(status("/any/x", BLUE).await, StatusCode::OK, "{:?}", outage_start.elapsed());
         }
-        // A key that nobody knows may have been handed out meanwhile.
-        wait_for("doubt", async || status("/any/x", "Bearer a-new-key").await == StatusCode::SERVICE_UNAVAILABLE).await;
+        // An unknown key may have been issued during the outage.
+        wait_for("a refusal of the unknown key as unverified", async || {
+            status("/any/x", "Bearer a-new-key").await == StatusCode::SERVICE_UNAVAILABLE
+        })
+        .await;
         assert_eq!(status("/open/x", BLUE).await, StatusCode::OK);
         fleet.platform.state.faults.outage.store(false, Ordering::Relaxed);
-        wait_for("the store", async || status("/any/x", BLUE).await == StatusCode::OK).await;
-        wait_for("certainty", async || status("/any/x", "Bearer a-new-key").await == StatusCode::UNAUTHORIZED).await;
+        wait_for("the end of the outage", async || status("/any/x", BLUE).await == StatusCode::OK).await;
+        wait_for("a refusal of the unknown key as invalid", async || {
+            status("/any/x", "Bearer a-new-key").await == StatusCode::UNAUTHORIZED
+        })
+        .await;
     }
 }
 
-/// Sends requests of a team to all nodes in turn; how each ended.
+/// Sends requests of a team to all nodes in rotation and returns their statuses.
 async fn send_many(fleet: &RouteFleet, key: &str, count: usize, pause: Duration) -> Vec<StatusCode> {
-    let mut ended = Vec::new();
+    let mut statuses = Vec::new();
     for number in 0..count {
-        let id = format!("{}-{number}", bare_name(key));
-        ended.push(get(fleet, number % fleet.nodes.len(), "/any/x", &id, &[(names::KEY, key)]).await.status);
+        let id = format!("{}-{number}", team_name(key));
+        statuses.push(get(fleet, number % fleet.nodes.len(), "/any/x", &id, &[(names::KEY, key)]).await.status);
         tokio::time::sleep(pause).await;
     }
-    ended
+    statuses
 }
 
-fn bare_name(key: &str) -> &str {
+fn team_name(key: &str) -> &str {
     key.trim_start_matches("Bearer ").split('-').next().unwrap_or_default()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn over_its_limit_a_team_is_refused_by_all_nodes_together_and_others_are_not() {
+async fn all_nodes_together_enforce_the_rate_limit_of_a_team_and_not_of_others() {
     let limit = (4.0, 4.0);
-    let teams =
-        vec![write_team("blue", &[bare(BLUE)], Some(limit)), write_team("red", &[bare(RED)], Some((400.0, 40.0)))];
+    let teams = vec![
+        write_team("blue", &[strip_scheme(BLUE)], Some(limit)),
+        write_team("red", &[strip_scheme(RED)], Some((400.0, 40.0))),
+    ];
     let fleet = start(teams).await;
-    let began = Instant::now();
+    let started = Instant::now();
     let (blue, red) = tokio::join!(
         send_many(&fleet, BLUE, 300, Duration::from_millis(5)),
         send_many(&fleet, RED, 100, Duration::from_millis(15)),
     );
-    let spent = began.elapsed().as_secs_f64();
-    // In any window; so in all windows that the test took, one after the other.
-    let windows = (spent / f64::from(USAGE_WINDOW_S)).ceil();
-    let in_window = (limit.0 * f64::from(USAGE_WINDOW_S) + limit.1) * (1.0 + USAGE_EXCESS) + USAGE_ALLOWANCE;
-    let ran = |name: &str| told_teams(&fleet).iter().filter(|(_, teams)| teams == &[name]).count();
-    assert!(ran("blue") as f64 <= windows * in_window, "{} ran in {spent} s", ran("blue"));
+    let elapsed = started.elapsed().as_secs_f64();
+    // The limit holds in any window, so the limit of the test is that of all the consecutive windows that it took.
+    let windows = (elapsed / f64::from(USAGE_WINDOW_S)).ceil();
+    let window_limit = (limit.0 * f64::from(USAGE_WINDOW_S) + limit.1) * (1.0 + USAGE_EXCESS) + USAGE_ALLOWANCE;
+    let ran = |name: &str| received_teams(&fleet).iter().filter(|(_, teams)| teams == &[name]).count();
+    assert!(ran("blue") as f64 <= windows * window_limit, "{} ran in {elapsed} s", ran("blue"));
     assert!(blue.contains(&StatusCode::OK) && blue.contains(&StatusCode::TOO_MANY_REQUESTS), "{blue:?}");
     assert!(blue.iter().all(|status| [200, 429].contains(&status.as_u16())), "{blue:?}");
     assert!(red.iter().all(|status| *status == StatusCode::OK), "{red:?}");
@@ -214,13 +228,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_reaches_no_server_uses_no_credit() {
-    let fleet = start(vec![write_team("blue", &[bare(BLUE)], Some((0.01, 1.0)))]).await;
+    let fleet = start(vec![write_team("blue", &[strip_scheme(BLUE)], Some((0.01, 1.0)))]).await;
     for server in &fleet.servers {
         server.state.switches.refuse.store(true, Ordering::Relaxed);
     }
     for number in 0..30 {
-        // What is given back is on its way when the caller has its answer.
-        wait_for("the credit", async || {
+        // Unused credit may be returned shortly after the caller has its answer.
+        wait_for("the returned credit", async || {
             let answer = get(&fleet, number % 3, "/any/x", &format!("r-{number}"), &[(names::KEY, BLUE)]).await;
             answer.status == StatusCode::SERVICE_UNAVAILABLE
         })
@@ -228,15 +242,15 @@
     }
 }
 
-/// The time at which a refused caller was told to come back.
-fn told_wait(answer: &CallAnswer) -> Duration {
-    let told = header(answer, "retry-after").and_then(|wait| wait.parse::<f64>().ok());
-    Duration::from_secs_f64(told.unwrap_or_else(|| panic!("no time in {answer:?}")))
+/// The time after which a refused caller may retry.
+fn retry_delay(answer: &CallAnswer) -> Duration {
+    let seconds = header(answer, "retry-after").and_then(|wait| wait.parse::<f64>().ok());
+    Duration::from_secs_f64(seconds.unwrap_or_else(|| panic!("no time in {answer:?}")))
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn callers_over_the_limit_return_one_after_the_other_and_are_served() {
-    let teams = vec![write_team("blue", &[bare(BLUE)], Some((20.0, 4.0)))];
+    let teams = vec![write_team("blue", &[strip_scheme(BLUE)], Some((20.0, 4.0)))];
     let plan = RouteFleetPlan { settings: "return_turns: true\n", ..plan(teams) };
     let fleet = &RouteFleet::start(plan).await.expect("a fleet");
     let calls = (0..60).map(|number| async move {
@@ -245,19 +259,20 @@
             return None;
         }
         assert_eq!(first.status, StatusCode::TOO_MANY_REQUESTS, "{first:?}");
-        tokio::time::sleep(told_wait(&first)).await;
+        tokio::time::sleep(retry_delay(&first)).await;
         let second = get(fleet, 0, "/any/x", &format!("second-{number}"), &[(names::KEY, BLUE)]).await;
         Some((number, second.status))
     });
     let returned: Vec<(usize, StatusCode)> =
         futures_util::future::join_all(calls).await.into_iter().flatten().collect();
-    let has_place = |number: &usize| {
+    let has_reservation = |number: &usize| {
         let id = format!("request=first-{number} ");
         !fleet.nodes[0].logged(&["event=over_limit", &id, "turn=Given"]).is_empty()
     };
     let returned: Vec<StatusCode> =
-        returned.into_iter().filter_map(|(number, status)| has_place(&number).then_some(status)).collect();
+        returned.into_iter().filter_map(|(number, status)| has_reservation(&number).then_some(status)).collect();
     let served = returned.iter().filter(|status| **status == StatusCode::OK).count();
-    // Told the same time, one of them was served. A caller whose own machine is late loses its place to another one.
+    // Of callers with the same retry time only one is served. A caller whose machine is late loses its reservation to
+    // another one.
     assert!(returned.len() > 5 && served * 4 >= returned.len() * 3, "{returned:?}");
 }
--- a/crates/lab/tests/store_silence.rs
+++ b/crates/lab/tests/store_silence.rs
@@ -1,4 +1,4 @@
-//! Connections to the platform's store that fall silent for good while new ones work.
+//! Connections to the platform's store that hang forever without an error while new ones work.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -8,10 +8,10 @@
 use streamfold_lab::wait::wait_within;
 use streamfold_standin::server::RouteServerPlan;
 
-/// How long a condition may take to hold: several times what a node needs, and less than the
-/// longest wait of a watch, by which a node that trusts its connections would find out too.
+/// How long a condition may take to hold: several times what a node needs, and less than the longest time of a watch,
+/// after which a node that trusted its connections would also learn of the change.
 const WAIT_AT_MOST: Duration = Duration::from_secs(20);
-/// Watches of a node: routes, servers and nodes.
+/// The watches of a node: routes, servers and nodes.
 const WATCHES: u64 = 3;
 
 fn route(service: &str) -> Value {
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_whose_watches_fall_silent_learns_of_changes_all_the_same() {
+async fn a_node_whose_watches_hang_still_learns_of_changes() {
     let servers =
         vec![RouteServerPlan::new("i-0", "cart", DOMAINS[0]), RouteServerPlan::new("i-1", "cart", DOMAINS[0])];
     let plan = RouteFleetPlan { nodes: [1, 0], servers, routes: vec![route("cart")], ..RouteFleetPlan::default() };
@@ -30,7 +30,9 @@
     state.silence_watches();
     fleet.register(1, "draining");
     fleet.put_document(2, &[route("cart"), route("late")]);
-    let told = async |texts: &[&str]| !fleet.nodes[0].logged(texts).is_empty();
-    wait_within(WAIT_AT_MOST, "the leaving server", async || told(&["event=server_leaving", "server=i-1"]).await).await;
-    wait_within(WAIT_AT_MOST, "the newer routes", async || told(&["event=routes_in_force", "version=2"]).await).await;
+    let has_logged = async |texts: &[&str]| !fleet.nodes[0].logged(texts).is_empty();
+    wait_within(WAIT_AT_MOST, "the leaving server", async || has_logged(&["event=server_leaving", "server=i-1"]).await)
+        .await;
+    wait_within(WAIT_AT_MOST, "the newer routes", async || has_logged(&["event=routes_in_force", "version=2"]).await)
+        .await;
 }
