--- a/crates/lab/tests/faults.rs
+++ b/crates/lab/tests/faults.rs
@@ -224,7 +224,7 @@
     let reasons: Vec<MissingReason> = answer.coverage.missing.iter().map(|missing| missing.reason).collect();
     assert_eq!(reasons, [MissingReason::NoOwner; 3]);
     set_partitioned(false);
-    wait_for("whole answers after the cut", async || {
+    wait_for("complete answers after the partition", async || {
         let answer = fleet.query(fleet.caller_addresses()[0]).await;
         answer.is_some_and(|answer| answer.coverage.missing.is_empty())
     })
@@ -243,7 +243,7 @@
         stream.write_all(malformed_bytes).await.expect("writing");
         let mut received = Vec::new();
         let closed = tokio::time::timeout(MAX_WAIT, stream.read_to_end(&mut received)).await;
-        assert!(closed.is_ok(), "the link must be closed");
+        assert!(closed.is_ok(), "the connection must be closed");
     }
     let report = run_load(&fleet, 50.0, 1).await;
     assert_eq!((report.whole, report.broken), (50, 0), "{report:?}");
--- a/crates/lab/tests/routes_alone.rs
+++ b/crates/lab/tests/routes_alone.rs
@@ -142,7 +142,8 @@
     wait_for("dropped lines of the log", async || {
         fleet.call(0, Method::GET, &long_path, "r-long", Bytes::new()).await.expect("a refusal");
         let counters = client.call(Method::GET, metrics, "/metrics", &[], Bytes::new(), MAX_WAIT).await;
-        counters.is_ok_and(|answer| String::from_utf8_lossy(&answer.body).contains("streamfold_log_lines_dropped_total"))
+        counters
+            .is_ok_and(|answer| String::from_utf8_lossy(&answer.body).contains("streamfold_log_lines_dropped_total"))
     })
     .await;
     assert!(is_answered(&fleet, 0, "/cart/x").await, "the log blocks requests");
--- a/crates/lab/tests/routes_herd.rs
+++ b/crates/lab/tests/routes_herd.rs
@@ -42,6 +42,6 @@
     let listed_nodes = count_nodes(&fleet, &["event=listed", "topic=nodes", "source=store"]);
     assert!(listed_nodes <= SEEDS, "{listed_nodes} nodes listed all nodes from the store");
     let listed_servers = count_nodes(&fleet, &["event=listed", "topic=servers", "source=store"]);
-    assert!(listed_servers <= NODES.len(), "{listed_servers} nodes asked the store for all servers");
+    assert!(listed_servers <= NODES.len(), "{listed_servers} nodes listed all servers from the store");
     check_answer(&fleet, &get(&fleet, "/any/x", "r-after").await, "r-after");
 }
--- a/crates/lab/tests/routes_homes.rs
+++ b/crates/lab/tests/routes_homes.rs
@@ -133,5 +133,5 @@
             assert_eq!(call(&fleet, node, "/all/x", &format!("all-{node}-{number}")).await.status, 200);
         }
     }
-    assert_eq!(fleet.count_domain_calls(0), before, "the former homes get nothing more");
+    assert_eq!(fleet.count_domain_calls(0), before, "no call goes to the former region");
 }
--- a/crates/lab/tests/routes_pauses.rs
+++ b/crates/lab/tests/routes_pauses.rs
@@ -26,9 +26,9 @@
     unresponsive: UnresponsivePlan,
     settings: &'static str,
 ) -> RouteFleet {
-    let servers = shards
-        .iter()
-        .flat_map(|shard| (0..unresponsive.servers).map(move |number| remote_server(&format!("{shard}-{number}"), shard)));
+    let servers = shards.iter().flat_map(|shard| {
+        (0..unresponsive.servers).map(move |number| remote_server(&format!("{shard}-{number}"), shard))
+    });
     let gather = json!({ "gather": shards, "topK": 7, "minCoverage": 0.5, "maxAttempts": 2,
         "timeoutMs": unresponsive.timeout_ms, "targetLatencyMs": unresponsive.target_ms });
     let routes = vec![write_route("all", "/all/", &gather)];
--- a/crates/lab/tests/routes_shards.rs
+++ b/crates/lab/tests/routes_shards.rs
@@ -129,7 +129,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_calls_to_all_shards_are_cancelled_when_the_caller_leaves() {
     // With so high a target latency no node reports anything to another one before the test times out.
-    let servers: Vec<RouteServerPlan> = vec![local_server("i-0", "s-0"), remote_server("i-1", "s-1"), remote_server("i-2", "s-2")];
+    let servers: Vec<RouteServerPlan> =
+        vec![local_server("i-0", "s-0"), remote_server("i-1", "s-1"), remote_server("i-2", "s-2")];
     let gather = json!({ "gather": ["s-0", "s-1", "s-2"], "topK": 7, "minCoverage": 0.5, "timeoutMs": 700_000,
         "targetLatencyMs": 600_000, "maxAttempts": 1 });
     let routes = vec![write_route("all", "/all/", &gather)];
--- a/crates/lab/tests/routes_stop.rs
+++ b/crates/lab/tests/routes_stop.rs
@@ -59,8 +59,12 @@
         write_route("any", "/any/", &long_route("safe")),
         write_route("once", "/once/", &long_route("non_idempotent")),
     ];
-    let plan =
-        RouteFleetPlan { nodes: [1, 0], servers: vec![local_server("i-0", "cart")], routes, ..RouteFleetPlan::default() };
+    let plan = RouteFleetPlan {
+        nodes: [1, 0],
+        servers: vec![local_server("i-0", "cart")],
+        routes,
+        ..RouteFleetPlan::default()
+    };
     let fleet = RouteFleet::start(plan).await.expect("a fleet");
     let state = &fleet.servers[0].state;
     state.switches.pause_ms.store(120_000, Ordering::Relaxed);
