--- a/crates/lab/src/experiments/mod.rs
+++ b/crates/lab/src/experiments/mod.rs
@@ -22,7 +22,7 @@
 
 use self::trial::{ALPENWASCH, MORETON_COAST};
 use crate::fleet::FleetError;
-use streamfold_standin::dice;
+use streamfold_standin::rng;
 
 /// Result of an experiment.
 #[derive(Debug, Clone, Serialize)]
@@ -72,7 +72,7 @@
 /// # Errors
 /// A fleet did not start.
 pub async fn run(name: &str, seed: u64) -> Option<Result<ExperimentReport, FleetError>> {
-    dice::seed(seed);
+    rng::seed(seed);
     match name {
         "cost" => Some(cost::run(seed).await),
         "overload" => Some(overload::run("overload", seed, None).await),
--- a/crates/lab/src/experiments/once.rs
+++ b/crates/lab/src/experiments/once.rs
@@ -13,7 +13,7 @@
 use crate::fleet::{Fleet, FleetError, NodeHandle};
 use crate::fleet_plan::{DomainPlan, FleetPlan};
 use crate::orders::{OrderReport, OrderSender};
-use streamfold_standin::dice;
+use streamfold_standin::rng;
 
 const ORDERS: usize = 5_000;
 const RATE: f64 = 150.0;
@@ -46,7 +46,7 @@
     let own_keys = (keys.len()..ORDERS).map(|number| format!("order-{number}"));
     keys.extend(own_keys);
     for position in (1..keys.len()).rev() {
-        keys.swap(position, dice::range(0.0..(position + 1) as f64) as usize);
+        keys.swap(position, rng::range(0.0..(position + 1) as f64) as usize);
     }
     keys
 }
@@ -115,7 +115,7 @@
 
 async fn send_direct(fleet: &Fleet, servers: &[SocketAddr], key: &str) -> bool {
     use streamfold_model::server::{SERVER_HEADER_ATTEMPT, SERVER_HEADER_KEY, SERVER_HEADER_SHARDS};
-    let server = servers[dice::range(0.0..servers.len() as f64) as usize];
+    let server = servers[rng::range(0.0..servers.len() as f64) as usize];
     let headers = [(SERVER_HEADER_ATTEMPT, "0"), (SERVER_HEADER_SHARDS, "0"), (SERVER_HEADER_KEY, key)];
     let path = format!("/v1/shards/{}/order", crate::fleet::INDEX);
     let timeout = Duration::from_secs(1);
--- a/crates/lab/src/experiments/stop.rs
+++ b/crates/lab/src/experiments/stop.rs
@@ -50,7 +50,7 @@
     while Instant::now() < until {
         let nodes = balanced_nodes(&list);
         let count = (ORDER_RATE * SLICE_TIME.as_secs_f64()) as usize;
-        let minter = nodes[streamfold_standin::dice::range(0.0..nodes.len() as f64) as usize];
+        let minter = nodes[streamfold_standin::rng::range(0.0..nodes.len() as f64) as usize];
         let tickets = sender.mint(minter, count).await;
         sender.run(&nodes, tickets, ORDER_RATE).await;
     }
--- a/crates/lab/src/orders.rs
+++ b/crates/lab/src/orders.rs
@@ -13,7 +13,7 @@
 use crate::client::LabClient;
 use crate::fleet::{INDEX, TOKEN};
 use crate::server::RunLog;
-use streamfold_standin::dice;
+use streamfold_standin::rng;
 
 /// Client-side timeout of one delivery.
 const DELIVERY_TIMEOUT: Duration = Duration::from_secs(8);
@@ -126,8 +126,8 @@
             let due = start + Duration::from_secs_f64(number as f64 / rate);
             tokio::time::sleep_until(due.into()).await;
             while running.try_join_next().is_some() {}
-            let random_node = || nodes[dice::range(0.0..nodes.len() as f64) as usize];
-            let (sender, pair, is_concurrent) = (self.clone(), [random_node(), random_node()], dice::chance(500));
+            let random_node = || nodes[rng::range(0.0..nodes.len() as f64) as usize];
+            let (sender, pair, is_concurrent) = (self.clone(), [random_node(), random_node()], rng::chance(500));
             running
                 .spawn(async move { sender.deliver_twice(pair, key, format!("cart-{number}"), is_concurrent).await });
         }
--- a/crates/lab/src/proxy.rs
+++ b/crates/lab/src/proxy.rs
@@ -12,7 +12,7 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::Instant;
 
-use streamfold_standin::dice;
+use streamfold_standin::rng;
 
 /// Maximum number of delayed chunks queued on one connection in each direction.
 const MAX_QUEUED_CHUNKS: usize = 4_096;
@@ -145,7 +145,7 @@
             while pause.load(Ordering::Relaxed) || faults.pause_both.load(Ordering::Relaxed) {
                 tokio::time::sleep(PAUSE_CHECK_INTERVAL).await;
             }
-            let is_cut_off = resets.is_some_and(|resets| dice::chance(resets.load(Ordering::Relaxed)));
+            let is_cut_off = resets.is_some_and(|resets| rng::chance(resets.load(Ordering::Relaxed)));
             let part = if is_cut_off { &chunk[..chunk.len() / 2] } else { &chunk[..] };
             if to.write_all(part).await.is_err() || is_cut_off {
                 return;
--- a/crates/lab/src/route_fleet.rs
+++ b/crates/lab/src/route_fleet.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use http::{Method, StatusCode};
 use serde_json::Value;
-use streamfold_standin::documents::{self, SettingsGaps, write_team_document};
+use streamfold_standin::documents::{self, TemplateValues, write_team_document};
 pub use streamfold_standin::documents::{HOST, write_route};
 use streamfold_standin::names;
 use streamfold_standin::server::{self as route_server, RouteServer, RouteServerPlan, RouteServerState};
@@ -391,7 +391,7 @@
     seeds: &[String],
     cpu_share: f64,
 ) -> Result<String, RouteFleetError> {
-    let placeholders = SettingsGaps {
+    let placeholders = TemplateValues {
         name,
         domain: DOMAINS[domain],
         regions: DOMAINS.into_iter().zip(REGIONS).collect(),
--- a/crates/lab/src/server.rs
+++ b/crates/lab/src/server.rs
@@ -25,7 +25,7 @@
 use tokio::sync::Semaphore;
 use tokio::task::{JoinHandle, JoinSet};
 
-use streamfold_standin::dice;
+use streamfold_standin::rng;
 
 /// Maximum number of shards in one call.
 const MAX_SHARDS: usize = 65_536;
@@ -269,7 +269,7 @@
 }
 
 fn chance(thousandths: &AtomicU64) -> bool {
-    dice::chance(thousandths.load(Ordering::Relaxed))
+    rng::chance(thousandths.load(Ordering::Relaxed))
 }
 
 impl ServerState {
@@ -348,7 +348,7 @@
         if self.plan.base.is_zero() {
             return;
         }
-        let mut factor = dice::range(0.75..1.25);
+        let mut factor = rng::range(0.75..1.25);
         factor *= self.switches.slow_factor.load(Ordering::Relaxed) as f64;
         if chance(&self.switches.straggle_per_mille) {
             factor *= self.switches.straggle_factor.load(Ordering::Relaxed) as f64;
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -104,7 +104,7 @@
 /// # Errors
 /// The fleet did not become ready.
 pub async fn run(plan: SoakPlan) -> Result<SoakReport, RouteFleetError> {
-    streamfold_standin::dice::seed(plan.seed);
+    streamfold_standin::rng::seed(plan.seed);
     let fleet = SoakFleet::start(plan.seed, plan.nodes).await?;
     let log = Arc::new(CallerLog::default());
     let max_lag_us = Arc::new(AtomicU64::new(0));
--- a/crates/lab/src/soak_audit.rs
+++ b/crates/lab/src/soak_audit.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use streamfold_standin::names;
-use streamfold_standin::server::{ReadRequest, make_records};
+use streamfold_standin::server::{ReceivedRequest, make_records};
 
 use crate::client::{CallAnswer, CallError};
 use crate::soak_fleet::{MIN_COVERAGE, SHARDS, SoakFleet, TOP, WithdrawnEntry, color_name, color_of, lock};
@@ -242,7 +242,7 @@
 /// A request as a server observed it.
 struct ServerObservation {
     server: usize,
-    request: ReadRequest,
+    request: ReceivedRequest,
     proof: String,
 }
 
@@ -368,7 +368,7 @@
 
     fn check_gathered(&self, request: &ObservedRequest) {
         let Some(answer) = request.result.as_ref().ok().filter(|answer| answer.status.is_success()) else { return };
-        let values = answer.headers.get_all(names::FOLDED_PROOFS).iter().filter_map(|value| value.to_str().ok());
+        let values = answer.headers.get_all(names::GATHERED_PROOFS).iter().filter_map(|value| value.to_str().ok());
         let proofs: Vec<&str> = values.flat_map(|value| value.split(',')).map(str::trim).collect();
         let runs = self.runs(&request.id);
         let find = |proof: &&str| runs.iter().find(|run| run.proof == **proof).map(|run| self.service(run));
--- a/crates/lab/tests/deploy.rs
+++ b/crates/lab/tests/deploy.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 
 use streamfold_lab::fleet::find_binary;
-use streamfold_standin::documents::SettingsGaps;
+use streamfold_standin::documents::TemplateValues;
 
 const DEPLOY: &str = include_str!("../../../deploy/system.toml");
 
@@ -21,7 +21,7 @@
     let template = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").join(read_line("template"));
     let template = std::fs::read_to_string(template).expect("the template");
     let port = |number| SocketAddr::from(([127, 0, 0, 1], number));
-    let gaps = SettingsGaps {
+    let gaps = TemplateValues {
         name: "front-vienna-1",
         domain: "vienna",
         regions: BTreeMap::from([("vienna", "east"), ("graz", "south")]),
--- a/crates/lab/tests/routes_reborn.rs
+++ b/crates/lab/tests/routes_reborn.rs
@@ -8,7 +8,7 @@
 use streamfold_lab::route_fleet::{RouteFleet, RouteFleetPlan, write_route};
 use streamfold_lab::wait::wait_for;
 use streamfold_standin::documents::SERVERS;
-use streamfold_standin::server::FIRST_BORN;
+use streamfold_standin::server::FIRST_START_MS;
 
 async fn start(servers: usize) -> RouteFleet {
     let servers = (0..servers).map(|number| local_server(&format!("i-{number}"), "cart")).collect();
@@ -55,7 +55,7 @@
     wait_served(&fleet, "before").await;
     fleet.register(0, "draining");
     wait_logged(&fleet, &["event=server_leaving", "server=i-0"]).await;
-    fleet.servers[0].state.born.store(FIRST_BORN + 5, Ordering::Relaxed);
+    fleet.servers[0].state.born.store(FIRST_START_MS + 5, Ordering::Relaxed);
     fleet.register(0, "ready");
     wait_served(&fleet, "after").await;
 }
@@ -63,9 +63,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn what_an_older_run_says_late_changes_nothing_of_the_newer_one() {
     let fleet = start(1).await;
-    put(&fleet, "i-0", changed(&fleet, &json!({ "born": FIRST_BORN + 5 })));
+    put(&fleet, "i-0", changed(&fleet, &json!({ "born": FIRST_START_MS + 5 })));
     wait_logged(&fleet, &["event=server_restarted", "server=i-0"]).await;
-    put(&fleet, "i-0", changed(&fleet, &json!({ "born": FIRST_BORN, "state": "draining" })));
+    put(&fleet, "i-0", changed(&fleet, &json!({ "born": FIRST_START_MS, "state": "draining" })));
     // One more change, after which that one was read.
     put(&fleet, "i-late", changed(&fleet, &json!({ "service": "other" })));
     wait_logged(&fleet, &["event=server_seen", "server=i-late"]).await;
@@ -84,7 +84,7 @@
     let entry = moved.entry("ready");
     moved.state.set_id("i-0");
     let address = entry["address"].clone();
-    put(&fleet, "i-0", changed(&fleet, &json!({ "address": address, "born": FIRST_BORN + 5 })));
+    put(&fleet, "i-0", changed(&fleet, &json!({ "address": address, "born": FIRST_START_MS + 5 })));
     fleet.platform.state.remove_object(SERVERS, "i-1");
     wait_for("a call there", async || {
         get(&fleet, "/any/x", "r-moved").await;
