--- a/crates/lab/tests/routes_reborn.rs
+++ b/crates/lab/tests/routes_reborn.rs
@@ -7,7 +7,7 @@
 use streamfold_lab::route_fleet::{RouteFleet, RouteFleetPlan, write_route};
 use streamfold_lab::wait::wait_for;
 use streamfold_standin::documents::SERVERS;
-use streamfold_standin::server::FIRST_BORN;
+use streamfold_standin::server::FIRST_START_MS;
 
 async fn start(servers: usize) -> RouteFleet {
     let servers = (0..servers).map(|number| local_server(&format!("i-{number}"), "cart")).collect();
@@ -54,7 +54,7 @@
     wait_served(&fleet, "before").await;
     fleet.register(0, "draining");
     wait_logged(&fleet, &["event=server_leaving", "server=i-0"]).await;
-    fleet.servers[0].state.born.store(FIRST_BORN + 5, Ordering::Relaxed);
+    fleet.servers[0].state.born.store(FIRST_START_MS + 5, Ordering::Relaxed);
     fleet.register(0, "ready");
     wait_served(&fleet, "after").await;
 }
@@ -62,9 +62,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_late_entry_of_an_older_run_does_not_change_the_newer_one() {
     let fleet = start(1).await;
-    put(&fleet, "i-0", changed(&fleet, &json!({ "born": FIRST_BORN + 5 })));
+    put(&fleet, "i-0", changed(&fleet, &json!({ "born": FIRST_START_MS + 5 })));
     wait_logged(&fleet, &["event=server_restarted", "server=i-0"]).await;
-    put(&fleet, "i-0", changed(&fleet, &json!({ "born": FIRST_BORN, "state": "draining" })));
+    put(&fleet, "i-0", changed(&fleet, &json!({ "born": FIRST_START_MS, "state": "draining" })));
     // Once this later change is logged, the stale one has been read.
     put(&fleet, "i-late", changed(&fleet, &json!({ "service": "other" })));
     wait_logged(&fleet, &["event=server_seen", "server=i-late"]).await;
@@ -83,7 +83,7 @@
     let entry = moved.entry("ready");
     moved.state.set_id("i-0");
     let address = entry["address"].clone();
-    put(&fleet, "i-0", changed(&fleet, &json!({ "address": address, "born": FIRST_BORN + 5 })));
+    put(&fleet, "i-0", changed(&fleet, &json!({ "address": address, "born": FIRST_START_MS + 5 })));
     fleet.platform.state.remove_object(SERVERS, "i-1");
     wait_for("a call at the new address", async || {
         get(&fleet, "/any/x", "r-moved").await;
