--- a/crates/daemon/src/route_node.rs
+++ b/crates/daemon/src/route_node.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use signal_hook::consts::SIGHUP;
-use streamfold_platform::{PlatformCalls, PlatformClient};
+use streamfold_platform::{PlatformClient, PlatformHeaders};
 use streamfold_router::{Router, RouterSettings, RunningRouter, router_start};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
@@ -93,7 +93,7 @@
 /// A port cannot be opened.
 pub async fn start(settings: RouterSettings) -> Result<RunningRouter, StartError> {
     let store = Arc::new(PlatformClient::new(settings.platform));
-    let running = router_start::start(settings, Arc::new(PlatformCalls), store, metrics_text::render).await;
+    let running = router_start::start(settings, Arc::new(PlatformHeaders), store, metrics_text::render).await;
     running.map_err(StartError::Router)
 }
 
