--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,4 +1,4 @@
-//! Every argument, declared in one place.
+//! The arguments of the command line and of its subcommands. The `///` comments are the help texts.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP to a node's ports.
+//! HTTP client for the callers' and operators' ports of a node.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,35 +13,39 @@
 
 use crate::error::CliError;
 
-/// How long an answer may take.
+/// Time limit of a call, from connecting to the end of the answer's body.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One call to a node.
+/// A request to one port of a node.
 pub struct NodeCall<'a> {
-    /// The port.
+    /// The address of the port.
     pub address: SocketAddr,
-    /// The method.
     pub method: Method,
-    /// Path and parameters.
+    /// The path with its query parameters.
     pub path: String,
-    /// Headers besides.
+    /// Headers to add.
     pub headers: Vec<(&'static str, &'a str)>,
-    /// The body.
+    /// The body; may be empty.
     pub body: Vec<u8>,
 }
 
 impl NodeCall<'_> {
-    /// A read.
+    /// A `GET` request without headers or body.
     pub fn get(address: SocketAddr, path: &str) -> Self {
         Self { address, method: Method::GET, path: path.to_owned(), headers: Vec::new(), body: Vec::new() }
     }
 
-    /// Makes the call and returns the body of a successful answer.
+    /// Sends the request and returns the body of an answer with a 2xx status.
+    ///
+    /// # Errors
+    /// `Problem` if the node refused the request, `Unreachable` if nothing was sent, `AnswerLost` if the outcome is
+    /// unknown, `BadAnswer` for an error status whose body is not a problem document, and `Request` if the request
+    /// cannot be built.
     pub async fn send(self) -> Result<Bytes, CliError> {
         let address = self.address;
-        let lost = |_| CliError::AnswerLost { address };
+        let answer_lost = |_| CliError::AnswerLost { address };
         let exchange = tokio::time::timeout(TIMEOUT, self.exchange()).await;
-        let (status, body) = exchange.map_err(lost)??;
+        let (status, body) = exchange.map_err(answer_lost)??;
         if (200..300).contains(&status) {
             return Ok(body);
         }
@@ -68,8 +72,11 @@
         Ok((status, body.to_bytes()))
     }
 
-    /// Makes the call and reads its answer as JSON.
-    pub async fn read<T: DeserializeOwned>(self) -> Result<T, CliError> {
+    /// Sends the request and decodes the body of the answer as JSON.
+    ///
+    /// # Errors
+    /// Those of [`NodeCall::send`], and `BadAnswer` if the body is not of the expected form.
+    pub async fn send_for_json<T: DeserializeOwned>(self) -> Result<T, CliError> {
         let address = self.address;
         let body = self.send().await?;
         serde_json::from_slice(&body).map_err(|_| CliError::BadAnswer { address, status: 200 })
--- a/crates/cli/src/cmd/apply.rs
+++ b/crates/cli/src/cmd/apply.rs
@@ -1,4 +1,4 @@
-//! `streamfold apply`: puts a configuration in force as one whole.
+//! `streamfold apply`: commits a configuration and can wait until every reachable node uses it.
 
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
@@ -13,19 +13,21 @@
 use crate::error::{CliError, EXIT_PARTIAL};
 use crate::util::{print_json, read_files};
 
-/// Pause between two looks at the fleet.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Time between two reads of the fleet's status.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Apply {
-    /// Applies the files, and waits until they are in force if asked to.
+    /// Applies the files and, with `--wait`, waits until every reachable node has them in force. The exit code is
+    /// [`EXIT_PARTIAL`] if that takes too long or if a node cannot be reached.
     pub async fn run(&self) -> Result<ExitCode, CliError> {
-        let files = self.read().await?;
+        let files = self.load_files().await?;
         let change = self.change.unwrap_or_else(|| ChangeId(rand::random()));
         if !self.json && !self.dry_run {
             println!("change {change}");
         }
         let answer = self.send(files, change).await?;
-        let is_everywhere = if self.wait && answer.committed { self.wait(answer.version).await? } else { true };
+        let is_everywhere =
+            if self.wait && answer.committed { self.wait_in_force(answer.version).await? } else { true };
         if self.json {
             print_json(&answer)?;
         } else if answer.committed {
@@ -36,11 +38,11 @@
         Ok(if is_everywhere { ExitCode::SUCCESS } else { ExitCode::from(EXIT_PARTIAL) })
     }
 
-    async fn read(&self) -> Result<Vec<SourceFile>, CliError> {
+    async fn load_files(&self) -> Result<Vec<SourceFile>, CliError> {
         match (self.rollback, self.files.is_empty()) {
             (Some(version), true) => {
                 let path = format!("/v1/config?version={version}");
-                let bundle = NodeCall::get(self.operators, &path).read::<ConfigBundle>().await?;
+                let bundle = NodeCall::get(self.operators, &path).send_for_json::<ConfigBundle>().await?;
                 Ok(bundle.files)
             }
             (None, false) => read_files(&self.files),
@@ -64,28 +66,29 @@
             headers: vec![("content-type", "application/json")],
             body: serde_json::to_vec(&request)?,
         };
-        call.read().await
+        call.send_for_json().await
     }
 
-    /// Waits until every node that can be reached has the version; false if some did not in time.
-    async fn wait(&self, version: ConfigVersion) -> Result<bool, CliError> {
+    /// Waits until every reachable node has the version in force. False if that takes too long or if a node cannot be
+    /// reached.
+    async fn wait_in_force(&self, version: ConfigVersion) -> Result<bool, CliError> {
         let start = Instant::now();
         loop {
             let fleet = read_fleet(self.operators).await?;
             if fleet.is_in_force(version) {
-                self.tell_unreached(&fleet);
+                self.print_unreached(&fleet);
                 return Ok(fleet.unreached.is_empty());
             }
             if start.elapsed() > self.timeout.0 {
                 eprintln!("version {version} is not in force on every node after {}", self.timeout);
-                self.tell_unreached(&fleet);
+                self.print_unreached(&fleet);
                 return Ok(false);
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn tell_unreached(&self, fleet: &FleetStatus) {
+    fn print_unreached(&self, fleet: &FleetStatus) {
         for node in &fleet.unreached {
             eprintln!("not reached: {node}");
         }
--- a/crates/cli/src/cmd/audit.rs
+++ b/crates/cli/src/cmd/audit.rs
@@ -1,4 +1,4 @@
-//! `streamfold audit`: who changed the configuration, when and why.
+//! `streamfold audit`: lists the changes of the configuration with their operator, time and reason.
 
 use std::process::ExitCode;
 
@@ -10,15 +10,15 @@
 use crate::util::print_json;
 
 impl Audit {
-    /// Lists changes, or prints the files of one version.
+    /// Lists the newest changes or, with `--print`, prints the files of one version.
     pub async fn run(&self) -> Result<ExitCode, CliError> {
         if let Some(version) = self.print {
             let path = format!("/v1/config?version={version}");
-            let bundle = NodeCall::get(self.operators, &path).read::<ConfigBundle>().await?;
+            let bundle = NodeCall::get(self.operators, &path).send_for_json::<ConfigBundle>().await?;
             return self.print_files(&bundle);
         }
         let path = format!("/v1/audit?limit={}", self.limit);
-        let records = NodeCall::get(self.operators, &path).read::<Vec<HeadRecord>>().await?;
+        let records = NodeCall::get(self.operators, &path).send_for_json::<Vec<HeadRecord>>().await?;
         if self.json {
             print_json(&records)?;
             return Ok(ExitCode::SUCCESS);
@@ -44,7 +44,7 @@
     }
 }
 
-/// Milliseconds since 1970 as a date and time in UTC.
+/// Formats milliseconds since 1970 (the Unix epoch) as an RFC 3339 time in UTC, to the second.
 fn format_time(time_ms: u64) -> String {
     let time = std::time::UNIX_EPOCH + std::time::Duration::from_millis(time_ms);
     humantime::format_rfc3339_seconds(time).to_string()
--- a/crates/cli/src/cmd/check.rs
+++ b/crates/cli/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `streamfold check`: checks files without any node.
+//! `streamfold check`: validates configuration files without contacting a node.
 
 use std::process::ExitCode;
 
@@ -10,7 +10,8 @@
 use crate::util::{print_json, read_files};
 
 impl Check {
-    /// Checks the files.
+    /// Validates the files as one configuration. With `--json`, problems are printed to the standard output and the
+    /// exit code is [`EXIT_BAD_INPUT`].
     pub fn run(&self) -> Result<ExitCode, CliError> {
         let files = read_files(&self.files)?;
         let problems: Vec<String> = match check_files(ConfigVersion(0), &files) {
--- a/crates/cli/src/cmd/mod.rs
+++ b/crates/cli/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! One file for each subcommand.
+//! The subcommands, one module each.
 
 mod apply;
 mod audit;
--- a/crates/cli/src/cmd/order.rs
+++ b/crates/cli/src/cmd/order.rs
@@ -1,4 +1,4 @@
-//! `streamfold order`: sends an order, which runs at most once.
+//! `streamfold order`: sends a request that runs at most once, under an idempotency key or a ticket.
 
 use std::process::ExitCode;
 
@@ -18,16 +18,16 @@
 }
 
 impl Order {
-    /// Sends the order under its key, or under a ticket fetched first.
+    /// Sends the order under the given key or, without one, under a ticket that it requests from the node first.
     pub async fn run(&self) -> Result<ExitCode, CliError> {
         let authorization = format!("Bearer {}", self.token);
         let key = match &self.key {
             Some(key) => key.clone(),
             None => self.fetch_ticket(&authorization).await?,
         };
-        // Printed before the order goes out, so that it can be presented again.
+        // Printed before the order is sent, so that the order can be repeated under the same key if the answer is lost.
         eprintln!("key: {key}");
-        let deadline = self.deadline.map(|span| span.0.as_millis().to_string());
+        let deadline = self.deadline.map(|duration| duration.0.as_millis().to_string());
         let mut headers = vec![("authorization", authorization.as_str()), (HEADER_KEY, key.as_str())];
         headers.extend(deadline.as_deref().map(|millis| (HEADER_DEADLINE, millis)));
         let call = NodeCall {
@@ -37,7 +37,7 @@
             headers,
             body: self.body.clone().into_bytes(),
         };
-        let answer: Value = call.read().await?;
+        let answer: Value = call.send_for_json().await?;
         if self.json {
             print_json(&answer)?;
         } else {
@@ -54,7 +54,7 @@
             headers: vec![("authorization", authorization)],
             body: Vec::new(),
         };
-        let minted: MintedTickets = call.read().await?;
+        let minted: MintedTickets = call.send_for_json().await?;
         minted.tickets.into_iter().next().ok_or(CliError::BadAnswer { address: self.callers, status: 200 })
     }
 }
--- a/crates/cli/src/cmd/query.rs
+++ b/crates/cli/src/cmd/query.rs
@@ -1,4 +1,4 @@
-//! `streamfold query`: asks an index and shows what the answer covers.
+//! `streamfold query`: queries an index and prints the results and the coverage of the answer.
 
 use std::process::ExitCode;
 
@@ -12,13 +12,13 @@
 use crate::util::print_json;
 
 impl Query {
-    /// Sends the query; partial if a shard is missing.
+    /// Sends the query. The exit code is [`EXIT_PARTIAL`] if a shard is missing from the answer.
     pub async fn run(&self) -> Result<ExitCode, CliError> {
         let authorization = format!("Bearer {}", self.token);
-        let deadline = self.deadline.map(|span| span.0.as_millis().to_string());
+        let deadline = self.deadline.map(|duration| duration.0.as_millis().to_string());
         let mut headers = vec![("authorization", authorization.as_str())];
         headers.extend(deadline.as_deref().map(|millis| (HEADER_DEADLINE, millis)));
-        headers.extend(self.prefer.as_deref().map(|what| (HEADER_PREFER, what)));
+        headers.extend(self.prefer.as_deref().map(|preference| (HEADER_PREFER, preference)));
         let shards = self.shards.as_ref().map_or(String::new(), |shards| format!("?shards={shards}"));
         let call = NodeCall {
             address: self.callers,
@@ -27,14 +27,14 @@
             headers,
             body: self.body.clone().into_bytes(),
         };
-        let answer = call.read::<QueryAnswer>().await?;
+        let answer = call.send_for_json::<QueryAnswer>().await?;
         if self.json {
             print_json(&answer)?;
         } else {
             print_answer(&answer);
         }
-        let is_whole = answer.coverage.missing.is_empty();
-        Ok(if is_whole { ExitCode::SUCCESS } else { ExitCode::from(EXIT_PARTIAL) })
+        let is_complete = answer.coverage.missing.is_empty();
+        Ok(if is_complete { ExitCode::SUCCESS } else { ExitCode::from(EXIT_PARTIAL) })
     }
 }
 
--- a/crates/cli/src/cmd/status.rs
+++ b/crates/cli/src/cmd/status.rs
@@ -1,4 +1,5 @@
-//! `streamfold status`: nodes, configurations and servers by failure domain.
+//! `streamfold status`: shows nodes and their configuration versions by failure domain, and servers that are leaving or
+//! unreachable.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,38 +15,41 @@
 use crate::error::{CliError, EXIT_PARTIAL};
 use crate::util::print_json;
 
-/// All nodes that one node knows, each asked itself.
+/// The status of every node that the contacted node lists, as each node reports it.
 #[derive(Debug, Serialize)]
 pub struct FleetStatus {
-    /// What they told.
+    /// The reports of the nodes that answered, ordered by node.
     pub nodes: Vec<NodeStatus>,
-    /// Nodes that did not answer.
+    /// Nodes without a usable answer, in order.
     pub unreached: Vec<NodeId>,
 }
 
 impl FleetStatus {
-    /// Whether every node reached has at least this version.
+    /// Whether every node that answered has this version or a newer one in force.
     pub fn is_in_force(&self, version: ConfigVersion) -> bool {
         self.nodes.iter().all(|node| node.config_version >= version)
     }
 }
 
 async fn read_node(address: SocketAddr) -> Result<NodeStatus, CliError> {
-    NodeCall::get(address, "/v1/status").read().await
+    NodeCall::get(address, "/v1/status").send_for_json().await
 }
 
-/// Asks one node for all it knows, and then each of them.
+/// Reads the status of one node, and then, concurrently, that of every other node in its member list that is not gone.
+///
+/// # Errors
+/// The first node could not be read. Failures of the others only make them `unreached`.
 pub async fn read_fleet(operators: SocketAddr) -> Result<FleetStatus, CliError> {
     let first = read_node(operators).await?;
-    let mut asked = JoinSet::new();
+    let mut requests = JoinSet::new();
     let others = first.members.iter().filter(|member| member.node != first.node && member.state != "gone");
     for member in others {
         let (node, address) = (member.node.clone(), member.operator_address);
-        asked.spawn(async move { (node, read_node(address).await) });
+        requests.spawn(async move { (node, read_node(address).await) });
     }
     let mut fleet = FleetStatus { nodes: vec![first], unreached: Vec::new() };
-    while let Some(told) = asked.join_next().await {
-        match told {
+    while let Some(reply) = requests.join_next().await {
+        match reply {
             Ok((_, Ok(status))) => fleet.nodes.push(status),
             Ok((node, Err(_))) => fleet.unreached.push(node),
             Err(_) => {}
@@ -57,7 +61,7 @@
 }
 
 impl Status {
-    /// Prints the status; partial if a node was not reached.
+    /// Prints the status. The exit code is [`EXIT_PARTIAL`] if a node was not reached.
     pub async fn run(&self) -> Result<ExitCode, CliError> {
         let fleet = read_fleet(self.operators).await?;
         if self.json {
@@ -84,8 +88,8 @@
         for node in &nodes {
             *versions.entry(node.config_version).or_default() += 1;
         }
-        let told: Vec<String> = versions.iter().map(|(version, count)| format!("{version} on {count}")).collect();
-        println!("{:<16} {:>5} {:>5}  {}", domain.as_str(), nodes.len(), ready, told.join(", "));
+        let counts: Vec<String> = versions.iter().map(|(version, count)| format!("{version} on {count}")).collect();
+        println!("{:<16} {:>5} {:>5}  {}", domain.as_str(), nodes.len(), ready, counts.join(", "));
     }
     for node in &fleet.nodes {
         let dead = node.members.iter().filter(|member| member.health == MemberHealth::Dead && member.state != "gone");
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,5 @@
-//! `streamfold`: the operators' command line. It talks to any node's operators' port.
+//! `streamfold`: the command line for operators, which uses the operators' port of any node. `query` and `order` use
+//! the callers' port instead.
 
 mod args;
 mod client;
--- a/crates/cli/src/util.rs
+++ b/crates/cli/src/util.rs
@@ -1,4 +1,4 @@
-//! Reading files and writing JSON.
+//! Helpers of the subcommands: reading configuration files and printing JSON.
 
 use std::path::{Path, PathBuf};
 
@@ -7,19 +7,23 @@
 
 use crate::error::CliError;
 
-fn failed(path: &Path) -> impl Fn(std::io::Error) -> CliError {
+fn read_error(path: &Path) -> impl Fn(std::io::Error) -> CliError {
     let path = path.to_owned();
     move |source| CliError::Read { path: path.clone(), source }
 }
 
-/// Reads configuration files; a folder stands for the `.yaml` files in it, by name.
+/// Reads configuration files. A directory stands for the `.yaml` files directly in it, sorted by name.
+///
+/// # Errors
+/// A file or directory cannot be read, or a directory has no `.yaml` files.
 pub fn read_files(paths: &[PathBuf]) -> Result<Vec<SourceFile>, CliError> {
     let mut files = Vec::new();
     for path in paths {
-        let found = if path.is_dir() { list_folder(path)? } else { vec![path.clone()] };
-        for path in found {
-            let text = std::fs::read_to_string(&path).map_err(failed(&path))?;
-            // Files are known by their bare names, so that a checkout elsewhere is no change.
+        let files_of_path = if path.is_dir() { list_yaml_files(path)? } else { vec![path.clone()] };
+        for path in files_of_path {
+            let text = std::fs::read_to_string(&path).map_err(read_error(&path))?;
+            // A file is identified by its name without the directory, so that the same files in another checkout are
+            // not a change of the configuration.
             let name = path.file_name().unwrap_or(path.as_os_str()).to_string_lossy().into_owned();
             files.push(SourceFile { name, text });
         }
@@ -27,18 +31,19 @@
     Ok(files)
 }
 
-fn list_folder(folder: &Path) -> Result<Vec<PathBuf>, CliError> {
-    let entries = std::fs::read_dir(folder).map_err(failed(folder))?;
+fn list_yaml_files(directory: &Path) -> Result<Vec<PathBuf>, CliError> {
+    let entries = std::fs::read_dir(directory).map_err(read_error(directory))?;
     let paths = entries.filter_map(|entry| entry.ok().map(|entry| entry.path()));
-    let mut found: Vec<PathBuf> = paths.filter(|path| path.extension().is_some_and(|end| end == "yaml")).collect();
-    found.sort();
-    if found.is_empty() {
-        return Err(CliError::NoFiles(folder.to_owned()));
+    let mut yaml_files: Vec<PathBuf> =
+        paths.filter(|path| path.extension().is_some_and(|extension| extension == "yaml")).collect();
+    yaml_files.sort();
+    if yaml_files.is_empty() {
+        return Err(CliError::NoFiles(directory.to_owned()));
     }
-    Ok(found)
+    Ok(yaml_files)
 }
 
-/// Prints data as JSON.
+/// Prints data as indented JSON to the standard output.
 pub fn print_json<T: Serialize>(data: &T) -> Result<(), CliError> {
     println!("{}", serde_json::to_string_pretty(data)?);
     Ok(())
