--- a/crates/lab/tests/relay.rs
+++ b/crates/lab/tests/relay.rs
@@ -51,9 +51,9 @@
 
 /// The positions of the nodes that come first in the tree of readers.
 fn find_first_ranks(fleet: &RouteFleet, count: usize) -> Vec<usize> {
-    let power = Some(CoreShare(1_000));
+    let cpu_share = Some(CoreShare(1_000));
     let nodes: Vec<ReaderCandidate> =
-        fleet.nodes.iter().map(|node| ReaderCandidate { name: &node.name, power }).collect();
+        fleet.nodes.iter().map(|node| ReaderCandidate { name: &node.name, cpu_share }).collect();
     let rank = |position: &usize| choose_readers(nodes[*position].name, DOMAINS[0], &nodes).readers.len();
     let mut positions: Vec<usize> = (0..nodes.len()).collect();
     positions.sort_by_key(rank);
--- a/crates/policy/src/answer_margin.rs
+++ b/crates/policy/src/answer_margin.rs
@@ -14,11 +14,11 @@
 /// on an eighth of a core take longer than any fixed margin that a stronger node could afford.
 const ANSWER_WORK: Duration = Duration::from_micros(150);
 const SHARD_WORK: Duration = Duration::from_micros(4);
-/// The margin of a node whose processor power is unknown.
-const UNKNOWN_POWER_MARGIN: Duration = Duration::from_millis(12);
+/// The margin of a node whose CPU share is unknown.
+const UNKNOWN_CPU_MARGIN: Duration = Duration::from_millis(12);
 
 /// How long before its target latency a node completes an answer over `shards` shards.
-pub fn answer_margin(shards: usize, power: Option<CoreShare>) -> Duration {
+pub fn answer_margin(shards: usize, cpu_share: Option<CoreShare>) -> Duration {
     let work = ANSWER_WORK + SHARD_WORK * shards as u32;
-    power.map_or(UNKNOWN_POWER_MARGIN, |power| FIXED_MARGIN + power.time_for(work))
+    cpu_share.map_or(UNKNOWN_CPU_MARGIN, |cpu_share| FIXED_MARGIN + cpu_share.time_for(work))
 }
--- a/crates/policy/src/batch_gate.rs
+++ b/crates/policy/src/batch_gate.rs
@@ -22,16 +22,22 @@
 }
 
 impl BatchGate {
-    /// Accepts a batch of `shards` shards whose reply is wanted within a time, on a processor of this power.
+    /// Accepts a batch of `shards` shards whose reply is wanted within a time, on a node with this CPU share.
     ///
     /// # Errors
     /// The batch is not accepted because it would wait too long; the error is that wait.
-    pub fn admit(&mut self, now: Moment, shards: usize, power: CoreShare, within: Duration) -> Result<(), Duration> {
+    pub fn admit(
+        &mut self,
+        now: Moment,
+        shards: usize,
+        cpu_share: CoreShare,
+        within: Duration,
+    ) -> Result<(), Duration> {
         let wait = self.busy_until.since(now);
         if wait > within.mul_f64(MAX_WAIT_SHARE) {
             return Err(wait);
         }
-        self.busy_until = now.plus(wait + power.time_for(batch_cpu_time(shards)));
+        self.busy_until = now.plus(wait + cpu_share.time_for(batch_cpu_time(shards)));
         Ok(())
     }
 }
--- a/crates/policy/src/crash_tracker.rs
+++ b/crates/policy/src/crash_tracker.rs
@@ -15,7 +15,7 @@
 use crate::Moment;
 
 /// Server crashes that are necessary to quarantine a content. One or two simultaneous crashes can come from a machine
-/// or rack failure; the platform counts from the third on.
+/// or rack failure; the platform counts only crashes from the third on.
 pub const MIN_CRASHES: usize = 3;
 /// Time from a crash to the decision on its content. A server that answers within this time counts in favour of the
 /// content. It is about the longest target latency; all nodes must know of a quarantine within 4 s.
--- a/crates/policy/src/entry_gate.rs
+++ b/crates/policy/src/entry_gate.rs
@@ -54,7 +54,7 @@
 pub struct AdmitAll;
 
 impl EntryRule for AdmitAll {
-    fn decide(&mut self, _now: Moment, _ask: &EntryRequest) -> EntryDecision {
+    fn decide(&mut self, _now: Moment, _request: &EntryRequest) -> EntryDecision {
         EntryDecision::Admit
     }
 }
--- a/crates/policy/src/mechanism.rs
+++ b/crates/policy/src/mechanism.rs
@@ -33,7 +33,7 @@
     /// Tries servers whose entry was removed if no other server answers.
     DoubtfulServers,
     /// Selects the services of a traffic split in a fixed sequence instead of at random.
-    SplitTurns,
+    SplitSequence,
     /// Avoids unreachable failure domains as a whole.
     UnreachableDomains,
     /// Takes the pace that servers report into account.
@@ -43,7 +43,7 @@
     /// Queues calls for full servers at the node, the most urgent first.
     CallQueues,
     /// Shares the capacity for calls of one priority among teams in proportion to their rates.
-    TeamTurns,
+    TeamScheduling,
     /// Admission control: refuses requests on arrival that cannot finish in time or must yield to more urgent ones.
     EntryGate,
     /// Gives callers that are refused together different retry times.
@@ -67,12 +67,12 @@
     (Mechanism::RetryPauses, "retry_pauses"),
     (Mechanism::DomainReaders, "domain_readers"),
     (Mechanism::DoubtfulServers, "doubtful_servers"),
-    (Mechanism::SplitTurns, "split_turns"),
+    (Mechanism::SplitSequence, "split_turns"),
     (Mechanism::UnreachableDomains, "dark_domains"),
     (Mechanism::ReportedPace, "told_pace"),
     (Mechanism::HandshakeTime, "handshake_time"),
     (Mechanism::CallQueues, "call_lines"),
-    (Mechanism::TeamTurns, "team_turns"),
+    (Mechanism::TeamScheduling, "team_turns"),
     (Mechanism::EntryGate, "entry_gate"),
     (Mechanism::RetryReservations, "return_turns"),
     (Mechanism::MeasuredPace, "measured_pace"),
--- a/crates/policy/src/members.rs
+++ b/crates/policy/src/members.rs
@@ -222,14 +222,14 @@
         })
     }
 
-    /// The next entries to gossip, at most `most`: the own entry, then the others in rotation.
-    pub fn sample(&mut self, most: usize) -> Vec<MemberEntry> {
+    /// The next entries to gossip, at most `max_entries`: the own entry, then the others in rotation.
+    pub fn sample(&mut self, max_entries: usize) -> Vec<MemberEntry> {
         let mut sample = vec![self.own().clone()];
         let start = self.cursor.take();
         let after = self.rows.keys().filter(|node| start.as_ref().is_some_and(|start| *node > start));
         let from_start = self.rows.keys().filter(|node| start.as_ref().is_none_or(|start| *node <= start));
         let rotation = after.chain(from_start).filter(|node| **node != self.own);
-        let chosen: Vec<NodeId> = rotation.take(most.saturating_sub(1)).cloned().collect();
+        let chosen: Vec<NodeId> = rotation.take(max_entries.saturating_sub(1)).cloned().collect();
         sample.extend(chosen.iter().filter_map(|node| self.get(node).cloned()));
         self.cursor = chosen.last().cloned();
         sample
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -21,15 +21,15 @@
 /// Near shards are delegated only if that takes less than this fraction of the local time: the costs are estimates,
 /// and each hop is one more point of failure.
 const DELEGATION_THRESHOLD: f64 = 0.7;
-/// Nodes with at least this fraction of the power of the strongest node in their failure domain are owners there.
+/// Nodes with at least this fraction of the CPU share of the strongest node in their failure domain are owners there.
 /// A batch takes at most twice as long at one owner as at another.
-const OWNER_POWER_RATIO: f64 = 0.5;
+const OWNER_CPU_RATIO: f64 = 0.5;
 
-/// Whether a node is an owner in its failure domain, given the power of the strongest node there. If no node
-/// reports its power, all nodes are owners.
-pub fn is_owner(power: Option<CoreShare>, strongest: Option<CoreShare>) -> bool {
-    let share = |power: Option<CoreShare>| power.map_or(0.0, |power| f64::from(power.0));
-    share(power) >= share(strongest) * OWNER_POWER_RATIO
+/// Whether a node is an owner in its failure domain, given the CPU share of the strongest node there. If no node
+/// reports its CPU share, all nodes are owners.
+pub fn is_owner(cpu_share: Option<CoreShare>, strongest: Option<CoreShare>) -> bool {
+    let share = |cpu_share: Option<CoreShare>| cpu_share.map_or(0.0, |cpu_share| f64::from(cpu_share.0));
+    share(cpu_share) >= share(strongest) * OWNER_CPU_RATIO
 }
 
 /// Processor time of a batch of `shards` shards at the receiving node, on a full core.
@@ -42,26 +42,26 @@
 pub struct OwnerGroup {
     /// Number of owners.
     pub count: usize,
-    /// Processor share of the weakest owner.
-    pub power: CoreShare,
+    /// CPU share of the weakest owner.
+    pub cpu_share: CoreShare,
 }
 
 impl OwnerGroup {
     /// The number of batches for `shards` shards and a target latency of `target`.
     pub fn count_batches(&self, shards: usize, target: Duration) -> usize {
-        let call = self.power.time_for(CALL_CPU_TIME).as_secs_f64();
-        let most = (target.as_secs_f64() * BATCH_LATENCY_SHARE / call).max(1.0);
-        let batches = (shards as f64 / most).ceil() as usize;
+        let call = self.cpu_share.time_for(CALL_CPU_TIME).as_secs_f64();
+        let max_shards = (target.as_secs_f64() * BATCH_LATENCY_SHARE / call).max(1.0);
+        let batches = (shards as f64 / max_shards).ceil() as usize;
         batches.clamp(1, self.count.max(1))
     }
 
-    /// Whether delegating near shards to these owners is faster than querying them from a node with the power `own`.
+    /// Whether delegating near shards to these owners is faster than querying them from a node with the CPU share `own`.
     pub fn is_delegation_faster(&self, shards: usize, target: Duration, own: CoreShare) -> bool {
         let batches = self.count_batches(shards, target) as u32;
         let largest = (shards as u32).div_ceil(batches);
         let local = own.time_for(CALL_CPU_TIME * shards as u32);
         let sending = own.time_for(BATCH_CPU_TIME * batches);
-        let delegated = sending + self.power.time_for(batch_cpu_time(largest as usize));
+        let delegated = sending + self.cpu_share.time_for(batch_cpu_time(largest as usize));
         self.count > 0 && delegated < local.mul_f64(DELEGATION_THRESHOLD)
     }
 }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -70,7 +70,7 @@
     servers: Vec<ServerState>,
     /// Ordered by deadline, the earliest first.
     waiting: WaitQueue<Moment, QueuedWork<T>>,
-    track: LatencyHistogram,
+    latencies: LatencyHistogram,
     hedging: Box<dyn HedgeRule>,
     hedges: TokenBudget,
     retries: RetryBudget,
@@ -85,7 +85,7 @@
             rules,
             servers,
             waiting: WaitQueue::default(),
-            track: LatencyHistogram::default(),
+            latencies: LatencyHistogram::default(),
             hedging,
             hedges: TokenBudget::new(HEDGE_RESERVE),
             retries,
@@ -117,7 +117,7 @@
     /// Picks a server that can take a call, preferably one that is neither avoided nor behind the required version. Any
     /// server that has not dropped the version will do where none is preferred, or where the work avoids a server
     /// and the preferred ones take no call now. Otherwise the work waits for a preferred one.
-    fn pick(&self, item: &WorkItem, now: Moment, dice: &mut dyn RngCore) -> Option<usize> {
+    fn pick(&self, item: &WorkItem, now: Moment, rng: &mut dyn RngCore) -> Option<usize> {
         let is_usable = |server: &ServerState| {
             let is_dropped = item.version.is_some_and(|version| server.has_dropped(&item.index, version));
             !server.is_leaving() && !is_dropped
@@ -126,16 +126,16 @@
             is_usable(server) && !item.version.is_some_and(|version| server.lags_behind(&item.index, version))
         };
         let is_preferred = |index: usize, server: &ServerState| Some(index) != item.avoid && is_ready(server);
-        let pick = |allowed: &dyn Fn(usize, &ServerState) -> bool, dice: &mut dyn RngCore| {
-            self.rules.pick(&self.servers, allowed, now, dice)
+        let pick = |allowed: &dyn Fn(usize, &ServerState) -> bool, rng: &mut dyn RngCore| {
+            self.rules.pick(&self.servers, allowed, now, rng)
         };
-        if let Some(server) = pick(&is_preferred, dice) {
+        if let Some(server) = pick(&is_preferred, rng) {
             return Some(server);
         }
         let has_no_preferred = !self.servers.iter().enumerate().any(|(index, server)| is_preferred(index, server));
         let may_use_avoided = item.avoid.is_some() && self.servers.len() > 1;
         if has_no_preferred || may_use_avoided {
-            return pick(&|_, server| is_usable(server), dice);
+            return pick(&|_, server| is_usable(server), rng);
         }
         None
     }
@@ -147,7 +147,7 @@
         item: WorkItem,
         is_retry: bool,
         tag: T,
-        dice: &mut dyn RngCore,
+        rng: &mut dyn RngCore,
     ) -> QueueSubmission<T> {
         if self.servers.iter().all(ServerState::is_leaving) {
             return QueueSubmission::Leaving(tag);
@@ -162,7 +162,7 @@
             self.earn();
         }
         let must_wait = self.rules.is_limited() && !self.waiting.is_empty();
-        if !must_wait && let Some(server) = self.pick(&item, now, dice) {
+        if !must_wait && let Some(server) = self.pick(&item, now, rng) {
             self.servers[server].start();
             return QueueSubmission::Started(server, tag);
         }
@@ -172,7 +172,7 @@
 
     /// Starts a hedge (a second attempt) if the hedge budget and a free slot on a server other than `first` allow it,
     /// and returns its server. A hedge is never queued and never starts ahead of queued work.
-    pub fn hedge(&mut self, now: Moment, item: &WorkItem, first: usize, dice: &mut dyn RngCore) -> Option<usize> {
+    pub fn hedge(&mut self, now: Moment, item: &WorkItem, first: usize, rng: &mut dyn RngCore) -> Option<usize> {
         if !self.waiting.is_empty() {
             return None;
         }
@@ -182,7 +182,7 @@
             });
             index != first && !server.is_leaving() && !server.is_backing_off(now) && !lacks_version
         };
-        let other = self.rules.pick(&self.servers, &allowed, now, dice)?;
+        let other = self.rules.pick(&self.servers, &allowed, now, rng)?;
         let server = self.choose_hedge_server(now, first, other);
         if !self.hedges.spend() {
             return None;
@@ -216,16 +216,16 @@
 
     /// How long after its start a call is hedged; `None` if it is not hedged.
     pub fn hedge_delay(&mut self) -> Option<Duration> {
-        if self.track.samples() < MIN_HEDGE_SAMPLES || self.servers.len() < 2 {
+        if self.latencies.samples() < MIN_HEDGE_SAMPLES || self.servers.len() < 2 {
             return None;
         }
         let plan = self.hedging.plan(self.load())?;
-        self.track.quantile(plan.quantile)
+        self.latencies.quantile(plan.quantile)
     }
 
     /// Whether a failed piece of work may be retried; spends a token of the retry budget if so.
-    pub fn may_retry(&mut self, outcome: AttemptOutcome, left: Duration, tries: u32) -> bool {
-        self.retries.may_retry(outcome, &self.track, left, tries)
+    pub fn may_retry(&mut self, outcome: AttemptOutcome, left: Duration, attempts: u32) -> bool {
+        self.retries.may_retry(outcome, &self.latencies, left, attempts)
     }
 
     /// Records how a call ended and starts the queued work that now fits.
@@ -234,21 +234,21 @@
         now: Moment,
         server: usize,
         report: CallReport,
-        dice: &mut dyn RngCore,
+        rng: &mut dyn RngCore,
     ) -> Vec<StartedWork<T>> {
         if let CallReport::Answered(latency) = report {
-            self.track.add(latency);
+            self.latencies.add(latency);
         }
         self.servers[server].finish(now, report);
-        self.start_waiting(now, dice)
+        self.start_waiting(now, rng)
     }
 
     /// Binds queued work to free slots in deadline order and drops expired work.
-    pub fn start_waiting(&mut self, now: Moment, dice: &mut dyn RngCore) -> Vec<StartedWork<T>> {
+    pub fn start_waiting(&mut self, now: Moment, rng: &mut dyn RngCore) -> Vec<StartedWork<T>> {
         let mut started = Vec::new();
         let mut skipped = Vec::new();
         while let Some(work) = self.waiting.pop(now) {
-            let Some(server) = self.pick(&work.item.item, now, dice) else {
+            let Some(server) = self.pick(&work.item.item, now, rng) else {
                 skipped.push(work);
                 if !self.servers.iter().any(ServerState::has_slot) {
                     break;
--- a/crates/policy/src/reader_choice.rs
+++ b/crates/policy/src/reader_choice.rs
@@ -41,8 +41,8 @@
 pub struct ReaderCandidate<'a> {
     /// Name of the node.
     pub name: &'a str,
-    /// Its processor share, if it reports one.
-    pub power: Option<CoreShare>,
+    /// Its CPU share, if it reports one.
+    pub cpu_share: Option<CoreShare>,
 }
 
 /// The readers from which a node may receive store updates.
@@ -72,11 +72,11 @@
         return direct;
     }
     let mut ranked = choose_owners(nodes.iter().map(|node| node.name), domain, nodes.len());
-    let power = |name: &str| nodes.iter().find(|node| node.name == name).and_then(|node| node.power);
-    ranked.sort_by_cached_key(|name| Reverse(power(name)));
+    let cpu_share = |name: &str| nodes.iter().find(|node| node.name == name).and_then(|node| node.cpu_share);
+    ranked.sort_by_cached_key(|name| Reverse(cpu_share(name)));
     let Some(rank) = ranked.iter().position(|node| *node == own) else { return direct };
-    let strongest = nodes.iter().map(|node| node.power).max().flatten();
-    let strong = ranked.iter().filter(|name| is_owner(power(name), strongest)).count();
+    let strongest = nodes.iter().map(|node| node.cpu_share).max().flatten();
+    let strong = ranked.iter().filter(|name| is_owner(cpu_share(name), strongest)).count();
     let tree = NodeTree { nodes: ranked.len(), strong };
     let ancestors = std::iter::successors(tree.find_parent(rank), |parent| tree.find_parent(*parent));
     let mut readers: Vec<usize> = Vec::new();
--- a/crates/policy/src/server_exclusion.rs
+++ b/crates/policy/src/server_exclusion.rs
@@ -51,15 +51,15 @@
     pub region: Option<&'a RegionName>,
 }
 
-/// The first reason that excludes a server from requests with these home regions, if any.
-pub fn find_exclusion(homes: &AllowedRegions, conditions: ServerConditions<'_>) -> Option<ServerExclusion> {
+/// The first reason that excludes a server from requests with these allowed regions, if any.
+pub fn find_exclusion(allowed_regions: &AllowedRegions, conditions: ServerConditions<'_>) -> Option<ServerExclusion> {
     if conditions.is_leaving {
         return Some(ServerExclusion::Leaving);
     }
     if conditions.is_evacuated {
         return Some(ServerExclusion::Evacuated);
     }
-    if !homes.allows(conditions.region) {
+    if !allowed_regions.allows(conditions.region) {
         return Some(ServerExclusion::OutsideHomes);
     }
     if conditions.is_unreachable {
--- a/crates/policy/tests/answer_margin.rs
+++ b/crates/policy/tests/answer_margin.rs
@@ -1,4 +1,4 @@
-//! The margin of an answer by the processor power of the node and the number of shards.
+//! The margin of an answer by the CPU share of the node and the number of shards.
 
 use streamfold_model::CoreShare;
 use streamfold_policy::answer_margin::answer_margin;
--- a/crates/policy/tests/call_order.rs
+++ b/crates/policy/tests/call_order.rs
@@ -27,9 +27,9 @@
     team: Option<TeamShare>,
     joined: Moment,
     target: Duration,
-    patience: Duration,
+    max_wait: Duration,
 ) -> WaitingCall {
-    WaitingCall { priority, team, joined, latest_start: joined.plus(target), expires: joined.plus(patience) }
+    WaitingCall { priority, team, joined, latest_start: joined.plus(target), expires: joined.plus(max_wait) }
 }
 
 /// A call and the time at which it was sent.
@@ -82,9 +82,9 @@
 
 /// 100 listings that arrive shortly before a lookup every 20 ms; two slots serve a call in 20 ms each.
 fn burst() -> Vec<WaitingCall> {
-    let (target, patience) = (Duration::from_millis(80), Duration::from_secs(10));
-    let listings = (0..100).map(|_| call(LEAST, None, ms(0), Duration::from_secs(2), patience));
-    let lookups = (0..20).map(|number| call(URGENT, None, ms(1 + 20 * number), target, patience));
+    let (target, max_wait) = (Duration::from_millis(80), Duration::from_secs(10));
+    let listings = (0..100).map(|_| call(LEAST, None, ms(0), Duration::from_secs(2), max_wait));
+    let lookups = (0..20).map(|number| call(URGENT, None, ms(1 + 20 * number), target, max_wait));
     listings.chain(lookups).collect()
 }
 
@@ -111,11 +111,11 @@
         let all: u64 = weights.iter().sum();
         // A slot takes one call every 10 ms, and from 1.2 to 4 arrive.
         let count = 1_000 * (12 + u64::from(excess % 29)) / 10;
-        let patience = Duration::from_millis(500);
+        let max_wait = Duration::from_millis(500);
         let calls = (0..count).map(|number| {
             let point = number * 7_919 % all;
             let level = weights.iter().scan(0, |sum, weight| { *sum += weight; Some(*sum) }).filter(|end| *end <= point).count();
-            call(Priority(level as u32), None, ms(number * 10_000 / count), Duration::from_millis(80), patience)
+            call(Priority(level as u32), None, ms(number * 10_000 / count), Duration::from_millis(80), max_wait)
         });
         let sent = replay(PriorityOrder::default(), calls.collect(), 1, Duration::from_millis(10));
         for (level, weight) in weights.into_iter().enumerate() {
@@ -235,8 +235,8 @@
 fn callers_without_a_team_count_as_one_team() {
     let mut order = PriorityOrder::default().with_fair_queueing();
     let at = Moment(1_000_000);
-    let patience = Duration::from_secs(1);
-    let waiting = |team| call(Priority(1), team, at, patience, patience);
+    let max_wait = Duration::from_secs(1);
+    let waiting = |team| call(Priority(1), team, at, max_wait, max_wait);
     let (teamless, blue) = (waiting(None), waiting(Some(team(0, 1.0))));
     let mut sent = (0, 0);
     for _ in 0..100 {
--- a/crates/policy/tests/entry_gate.rs
+++ b/crates/policy/tests/entry_gate.rs
@@ -231,8 +231,8 @@
     assert_eq!(AdmitAll.decide(now, &request), EntryDecision::Admit);
 }
 
-/// Outlooks from small numbers: each server's finish in tens of milliseconds and its number of reports.
-fn outlooks(shards: &[Vec<(u8, u8)>]) -> Vec<Vec<ServerEstimate>> {
+/// Estimates from small numbers: the finish of each server in tens of milliseconds and its number of observations.
+fn estimates(shards: &[Vec<(u8, u8)>]) -> Vec<Vec<ServerEstimate>> {
     let server = |(finish, reports): &(u8, u8)| ServerEstimate {
         finish: ms(u64::from(*finish) * 10 * u64::from(*reports % 4 > 0)),
         observations: u32::from(*reports % 4),
@@ -249,7 +249,7 @@
 quickcheck! {
     /// Leaving out any single report changes no refusal, so one stale or wrong report alone refuses nothing.
     fn no_single_report_refuses(shards: Vec<Vec<(u8, u8)>>, needed: usize, left: u8) -> TestResult {
-        let servers = outlooks(&shards);
+        let servers = estimates(&shards);
         if servers.is_empty() {
             return TestResult::discard();
         }
--- a/crates/policy/tests/pace_estimate.rs
+++ b/crates/policy/tests/pace_estimate.rs
@@ -35,7 +35,7 @@
 }
 
 /// A finished call.
-struct MadeCall {
+struct FinishedCall {
     started: Moment,
     server: usize,
     took_us: f64,
@@ -51,7 +51,7 @@
 
 /// Simulates the load for some seconds. Each call goes to the server with the lowest cost, or, if `is_oracle`, to the
 /// one that answers first.
-fn simulate(load: &Load, seconds: u64, mechanisms: MechanismSet, is_oracle: bool) -> Vec<MadeCall> {
+fn simulate(load: &Load, seconds: u64, mechanisms: MechanismSet, is_oracle: bool) -> Vec<FinishedCall> {
     let mut rng = StdRng::seed_from_u64(7);
     let mut states = vec![ReplicaState::new(SLOTS as u32, Moment::default()).with_mechanisms(mechanisms); load.servers];
     states.iter_mut().for_each(|state| state.set_comparable(load.servers > 2));
@@ -81,7 +81,7 @@
         *slot = ends[server];
         states[server].start_measured(Moment(now), typical);
         open.push(Reverse((ends[server], now, server)));
-        made.push(MadeCall { started: Moment(now), server, took_us: (ends[server] - now) as f64 });
+        made.push(FinishedCall { started: Moment(now), server, took_us: (ends[server] - now) as f64 });
     }
     made
 }
@@ -107,13 +107,14 @@
 }
 
 /// Share of the calls in an interval that went to some servers.
-fn share_to(made: &[MadeCall], from: u64, to: u64, servers: impl Fn(usize) -> bool) -> f64 {
-    let within: Vec<&MadeCall> = made.iter().filter(|call| call.started >= ms(from) && call.started < ms(to)).collect();
+fn share_to(made: &[FinishedCall], from: u64, to: u64, servers: impl Fn(usize) -> bool) -> f64 {
+    let within: Vec<&FinishedCall> =
+        made.iter().filter(|call| call.started >= ms(from) && call.started < ms(to)).collect();
     within.iter().filter(|call| servers(call.server)).count() as f64 / within.len().max(1) as f64
 }
 
 /// Mean duration of the calls in an interval, in milliseconds.
-fn mean_ms(made: &[MadeCall], from: u64, to: u64) -> f64 {
+fn mean_ms(made: &[FinishedCall], from: u64, to: u64) -> f64 {
     let within = made.iter().filter(|call| call.started >= ms(from) && call.started < ms(to));
     let (sum, count) = within.fold((0.0, 0), |(sum, count), call| (sum + call.took_us, count + 1));
     sum / f64::from(count) / 1e3
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Owner nodes, batch counts and delegation, depending on the power of the nodes.
+//! Owner nodes, batch counts and delegation, depending on the CPU shares of the nodes.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 
 const TARGET: Duration = Duration::from_millis(100);
 
-fn group(count: usize, power: u32) -> OwnerGroup {
-    OwnerGroup { count, power: CoreShare(power) }
+fn group(count: usize, cpu_share: u32) -> OwnerGroup {
+    OwnerGroup { count, cpu_share: CoreShare(cpu_share) }
 }
 
 #[test]
-fn nodes_with_half_the_power_of_the_strongest_are_owners() {
+fn nodes_with_half_the_cpu_share_of_the_strongest_are_owners() {
     let strongest = Some(CoreShare(500));
     let owners = [500, 250, 249, 120].map(|power| is_owner(Some(CoreShare(power)), strongest));
     assert_eq!(owners, [true, true, false, false]);
@@ -26,7 +26,7 @@
         .map(|(shards, power)| {
             let group = group(3, power);
             let long = group.count_batches(shards, TARGET * 3);
-            format!("{shards} shards at {}: {} or {long}", group.power, group.count_batches(shards, TARGET))
+            format!("{shards} shards at {}: {} or {long}", group.cpu_share, group.count_batches(shards, TARGET))
         })
         .into();
     insta::assert_snapshot!(batches.join("\n"), @r"
--- a/crates/policy/tests/reader_choice.rs
+++ b/crates/policy/tests/reader_choice.rs
@@ -11,7 +11,7 @@
 
 /// The choice of a node if all nodes are equally strong.
 fn choose<'a>(own: &str, names: &[&'a str]) -> ReaderChoice<'a> {
-    let nodes: Vec<ReaderCandidate> = names.iter().map(|name| ReaderCandidate { name, power: None }).collect();
+    let nodes: Vec<ReaderCandidate> = names.iter().map(|name| ReaderCandidate { name, cpu_share: None }).collect();
     reader_choice::choose_readers(own, "zone-a", &nodes)
 }
 
@@ -102,11 +102,11 @@
 fn weak_nodes_follow_strong_nodes() {
     let all = nodes(48);
     let names = names(&all);
-    let power = |position: usize| if position < 3 { CoreShare(500) } else { CoreShare(120) };
+    let cpu_share = |position: usize| if position < 3 { CoreShare(500) } else { CoreShare(120) };
     let nodes: Vec<ReaderCandidate> = names
         .iter()
         .enumerate()
-        .map(|(position, name)| ReaderCandidate { name, power: Some(power(position)) })
+        .map(|(position, name)| ReaderCandidate { name, cpu_share: Some(cpu_share(position)) })
         .collect();
     let preferred = |own: &str| reader_choice::choose_readers(own, "zone-a", &nodes).readers.first().copied();
     let readers: std::collections::BTreeSet<&str> = names.iter().filter_map(|own| preferred(own)).collect();
@@ -135,7 +135,7 @@
     for (strong, weak) in [(10, 180), (20, 360), (10, 320)] {
         let all = mixed(strong, weak);
         let nodes: Vec<ReaderCandidate> =
-            all.iter().map(|(name, power)| ReaderCandidate { name, power: Some(*power) }).collect();
+            all.iter().map(|(name, cpu_share)| ReaderCandidate { name, cpu_share: Some(*cpu_share) }).collect();
         let mut followers = std::collections::BTreeMap::new();
         let mut longest = 0;
         for (own, _) in &all {
@@ -160,7 +160,7 @@
 fn the_wait_for_a_starting_reader_grows_with_the_rank() {
     let all = mixed(10, 180);
     let nodes: Vec<ReaderCandidate> =
-        all.iter().map(|(name, power)| ReaderCandidate { name, power: Some(*power) }).collect();
+        all.iter().map(|(name, cpu_share)| ReaderCandidate { name, cpu_share: Some(*cpu_share) }).collect();
     let waits = all.iter().map(|(own, _)| reader_choice::choose_readers(own, "zone-a", &nodes).starting_reader_wait);
     let mut waits: Vec<Duration> = waits.collect();
     waits.sort_unstable();
--- a/crates/policy/tests/reservation_table.rs
+++ b/crates/policy/tests/reservation_table.rs
@@ -122,8 +122,8 @@
 
 impl Arrival {
     /// The number of an arrival is its time: no two arrive at the same moment.
-    fn new(at: Moment, domain: usize, patience: Duration) -> Self {
-        Self { at, domain, number: at.0, gives_up: at.plus(patience), is_retry: false }
+    fn new(at: Moment, domain: usize, max_wait: Duration) -> Self {
+        Self { at, domain, number: at.0, gives_up: at.plus(max_wait), is_retry: false }
     }
 
     fn caller(&self) -> Caller {
--- a/crates/policy/tests/server_exclusion.rs
+++ b/crates/policy/tests/server_exclusion.rs
@@ -16,13 +16,13 @@
         ("there", AllowedRegions::from_list(vec![region("there")])),
     ];
     let mut lines = Vec::new();
-    for (name, homes) in &scopes {
+    for (name, allowed_regions) in &scopes {
         for bits in 0..16 {
             let [is_leaving, is_evacuated, is_unreachable, is_cold_limit_reached] =
                 [1, 2, 4, 8].map(|bit| bits & bit != 0);
             for region in [None, Some(&here)] {
                 let exclusion = find_exclusion(
-                    homes,
+                    allowed_regions,
                     ServerConditions { is_leaving, is_evacuated, is_unreachable, is_cold_limit_reached, region },
                 );
                 let exclusion = exclusion.map_or("none".to_owned(), |exclusion| exclusion.to_string());
--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -203,22 +203,22 @@
             && self.sent_remotely == 0
     }
 
-    /// Whether the request may be sent to a server, given that it may run on at most `most` servers.
-    pub(crate) fn allow(&self, server: &Server, most: u32) -> bool {
+    /// Whether the request may be sent to a server, given that it may run on at most `max_servers` servers.
+    pub(crate) fn allow(&self, server: &Server, max_servers: u32) -> bool {
         let has_declined = |tried: &Arc<Server>| self.declined.iter().any(|declined| Arc::ptr_eq(declined, tried));
         let used = self.tried.iter().filter(|tried| !has_declined(tried)).map(|server| &server.id);
-        self.send_permission.allow(&server.id, used, most as usize)
+        self.send_permission.allow(&server.id, used, max_servers as usize)
     }
 
-    /// Records a hedge that another node makes to a server. It is overdue after `patience`.
-    pub(crate) fn note_remote_hedge(&mut self, server: Arc<Server>, now: Moment, patience: Duration) {
+    /// Records a hedge that another node makes to a server. It is overdue after `hedge_delay`.
+    pub(crate) fn note_remote_hedge(&mut self, server: Arc<Server>, now: Moment, hedge_delay: Duration) {
         self.sent += 1;
         self.has_reached_server = true;
         self.tried.push(server);
         self.started = now;
         self.is_overdue = false;
         self.is_remote_hedge = true;
-        self.hedge_at = Some(now.plus(patience));
+        self.hedge_at = Some(now.plus(hedge_delay));
     }
 
     /// Records that a hedge delegated to another node got no answer: either it was not made, or it is unknown
--- a/crates/router/src/batch.rs
+++ b/crates/router/src/batch.rs
@@ -136,7 +136,7 @@
     pub wait_us: u64,
 }
 
-/// The speed of a server, as a node measured it.
+/// The pace of a server, as a node measured it.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct ServerPace {
     /// The server run that was measured.
@@ -152,7 +152,7 @@
 pub struct DomainReport {
     /// How long calls wait, for each priority that had waiting calls recently.
     pub waits: Vec<PriorityWait>,
-    /// Measured speeds of servers that are far slower than usual; only a few, the newest first.
+    /// Measured paces of servers that are far slower than usual; only a few, the newest first.
     pub paces: Vec<ServerPace>,
 }
 
--- a/crates/router/src/caller_team.rs
+++ b/crates/router/src/caller_team.rs
@@ -18,13 +18,13 @@
     router: &Router,
     teams: &TeamDirectory,
     route: &RouteSpec,
-    shown: PresentedKey,
+    presented: PresentedKey,
 ) -> Result<Option<Arc<TeamSpec>>, RefusalKind> {
     let unknown = || RefusalKind::not_run(RefusalReason::RoutesUnknown { uptime: router.uptime() });
     let unfollowed = router.unfollowed_for(FeedTopic::Routes);
     let strict = router.settings.keys.filter(|keys| keys.strict == Some(true));
     let are_keys_stale = strict.is_some_and(|keys| unfollowed > keys.within.0);
-    let team = match shown {
+    let team = match presented {
         PresentedKey::Key(key) => teams.find(&key),
         PresentedKey::None | PresentedKey::Malformed => None,
     };
@@ -34,7 +34,7 @@
         // The key may have been revoked meanwhile.
         None if team.is_some() => Err(unknown()),
         // The key may have been issued meanwhile.
-        None if matches!(shown, PresentedKey::Key(_)) && (!unfollowed.is_zero() || router.is_behind()) => {
+        None if matches!(presented, PresentedKey::Key(_)) && (!unfollowed.is_zero() || router.is_behind()) => {
             Err(unknown())
         }
         None => Err(RefusalKind::NoKey),
--- a/crates/router/src/cluster_view.rs
+++ b/crates/router/src/cluster_view.rs
@@ -193,19 +193,19 @@
     }
 
     /// Sets for each server how many connections this node may open to it, and how many calls per second this node may
-    /// make while the server is warming up.
+    /// make while the server is cold.
     pub(crate) fn assign_shares(&self, node: &NodeId, cold_calls: Option<ColdCallSettings>) {
         for service in self.services.values() {
             service.servers.iter().for_each(|server| server.state().set_comparable(service.is_comparable));
         }
         for server in self.services.values().flat_map(|service| &service.servers) {
             server.set_connection_limit(self.connection_share(server));
-            server.set_cold_quota(cold_calls.and_then(|limit| self.warmup_quota(server, node, limit)));
+            server.set_cold_quota(cold_calls.and_then(|limit| self.cold_quota(server, node, limit)));
         }
     }
 
-    /// Calls per second that this node may make to a server that is warming up; `None` if they are not limited.
-    fn warmup_quota(&self, server: &Server, node: &NodeId, limit: ColdCallSettings) -> Option<u32> {
+    /// Calls per second that this node may make to a cold server; `None` if they are not limited.
+    fn cold_quota(&self, server: &Server, node: &NodeId, limit: ColdCallSettings) -> Option<u32> {
         let rate = self.table.as_ref()?.service(&server.service)?.warmup_rate?;
         if server.distance != Distance::Domain {
             return Some(0);
--- a/crates/router/src/connection.rs
+++ b/crates/router/src/connection.rs
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     /// `NotSent` if no byte of the request was sent, `ConnectionLost` if the connection ended before any byte of the
-    /// response arrived, `Lost` otherwise.
+    /// response arrived, `AnswerLost` otherwise.
     pub async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
--- a/crates/router/src/contention.rs
+++ b/crates/router/src/contention.rs
@@ -35,7 +35,7 @@
         return HashMap::new();
     }
     let by_team = context.scheduling.by_team
-        && context.mechanisms.has(Mechanism::TeamTurns)
+        && context.mechanisms.has(Mechanism::TeamScheduling)
         && table.teams().is_some_and(TeamDirectory::has_limits);
     let keyed =
         table.routes().iter().filter(|route| by_team && !route.is_auth_exempt).flat_map(|route| route.services());
--- a/crates/router/src/delegate.rs
+++ b/crates/router/src/delegate.rs
@@ -109,7 +109,7 @@
 /// share.
 fn owner_group(peers: &[Arc<PeerNode>]) -> Option<OwnerGroup> {
     let cpu_shares: Option<Vec<CoreShare>> = peers.iter().map(|peer| peer.entry.cpu_share).collect();
-    cpu_shares?.into_iter().min().map(|power| OwnerGroup { count: peers.len(), power })
+    cpu_shares?.into_iter().min().map(|cpu_share| OwnerGroup { count: peers.len(), cpu_share })
 }
 
 impl AttemptContext {
@@ -153,7 +153,7 @@
 
     /// Whether shards near this node are delegated to stronger nodes near it.
     fn is_near_delegated(&self, near_peers: &[Arc<PeerNode>], shards: usize) -> bool {
-        let (Some(group), Some(cpu_share)) = (owner_group(near_peers), self.router.settings.power()) else {
+        let (Some(group), Some(cpu_share)) = (owner_group(near_peers), self.router.settings.core_share()) else {
             return false;
         };
         self.router.has(Mechanism::NearDelegation)
@@ -220,8 +220,8 @@
         let now = self.now();
         let BatchRequest { peer, positions, shards, mode } = request;
         let round_trip = round_trip(peer.domain.distance);
-        let patience = self.times.hedge_delay(Distance::Domain, self.route.target_latency);
-        let progress_within = patience.min(MAX_PROGRESS_WAIT);
+        let hedge_delay = self.latencies.hedge_delay(Distance::Domain, self.route.target_latency);
+        let progress_within = hedge_delay.min(MAX_PROGRESS_WAIT);
         let target = self.request.started.plus(rule.target.min(rule.limit));
         let reply_within = match mode {
             BatchMode::Folded => target.since(now).saturating_sub(round_trip).max(MIN_REPLY_TIME),
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -33,8 +33,8 @@
 use crate::router::{LiveCount, Router, RouterPhase};
 use crate::{entry, gather, quarantine, single, task, usage};
 
-/// The pause after a failed accept, for example when no file descriptors are left.
-pub const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// The delay after a failed accept, for example when no file descriptors are left.
+pub const ACCEPT_DELAY: Duration = Duration::from_millis(20);
 /// The smallest request head buffer that the HTTP library accepts.
 const MIN_HEAD_BUFFER: usize = 8 << 10;
 /// The head buffer and the idle timeout while no routes, and thus no configured limits, are known.
@@ -60,7 +60,7 @@
             }
             Err(error) => {
                 tracing::warn!(event = "accept_failed", %error);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_DELAY).await;
             }
         }
     }
@@ -174,7 +174,7 @@
     })?;
     let team = authenticate(router, &routed, &head, &mut parts.headers)?;
     let body = read_body(body, routed.body_limit).await?;
-    let times = routed.view.latencies.get(&routed.route.name).cloned().unwrap_or_default();
+    let latencies = routed.view.latencies.get(&routed.route.name).cloned().unwrap_or_default();
     let is_single_service = matches!(routed.route.target, RouteTarget::Split(_));
     let request = CallerRequest::new(head, parts, body, arrival, routed.route.timeout, is_single_service);
     // A request to a single server is refused early, so that its caller still has time to retry.
@@ -195,7 +195,7 @@
         view: routed.view,
         route: routed.route,
         request: Arc::new(request),
-        times,
+        latencies,
         request_share: 1.0,
         origin: RequestOrigin::Caller,
         canary,
@@ -317,9 +317,9 @@
     }
 }
 
-/// The selector of a request's route, if its traffic is split between services by turns.
+/// The selector of a request's route, if its traffic is split among services in a fixed sequence.
 fn find_split_selector(context: &AttemptContext) -> Option<&SplitSelector> {
-    context.view.split_selector(&context.route.name).filter(|_| context.router.has(Mechanism::SplitTurns))
+    context.view.split_selector(&context.route.name).filter(|_| context.router.has(Mechanism::SplitSequence))
 }
 
 /// How many shards an answer covers, and which nodes and shards to name in the log.
--- a/crates/router/src/gather.rs
+++ b/crates/router/src/gather.rs
@@ -81,7 +81,7 @@
 
 /// The rule that decides when a request over shards is answered.
 pub(crate) fn fold_rule(context: &AttemptContext, spec: &GatherSpec) -> FoldRule {
-    let margin = answer_margin(spec.shards.len(), context.router.settings.power());
+    let margin = answer_margin(spec.shards.len(), context.router.settings.core_share());
     FoldRule {
         target: context.route.target_latency.saturating_sub(margin),
         limit: context.request.deadline.since(context.request.started),
@@ -236,20 +236,20 @@
     /// servers that have not crashed yet. If this request is found to be the cause, other nodes are informed before its
     /// caller can retry there.
     async fn check_verdict(&mut self) {
-        let fate = self.context.verdict();
-        if fate == RequestVerdict::Continue {
+        let verdict = self.context.verdict();
+        if verdict == RequestVerdict::Continue {
             return;
         }
         tracing::info!(
             event = "calls_cancelled",
             request = self.context.request.id_text(),
             content = %self.context.request.suspect.content,
-            is_blamed = fate == RequestVerdict::AtFault,
+            is_blamed = verdict == RequestVerdict::AtFault,
             calls = self.calls.len(),
             batches = self.pending_batches.len()
         );
         self.cancel_calls();
-        if fate == RequestVerdict::AtFault {
+        if verdict == RequestVerdict::AtFault {
             quarantine_news::quarantine_content(&self.context.router, self.context.request.suspect).await;
         }
     }
@@ -298,7 +298,7 @@
         let slot = &mut self.slots[position];
         match ended.result {
             Ok(reply) if reply.is_proven_success() => {
-                self.context.times.add(ended.server.distance, took);
+                self.context.latencies.add(ended.server.distance, took);
                 slot.attempts.note_answer(&ended.server.run());
                 if slot.part.is_none() {
                     slot.part = reply.proof.map(|proof| ShardPart { proof, records: reply.body, floor: None });
--- a/crates/router/src/hedge.rs
+++ b/crates/router/src/hedge.rs
@@ -119,8 +119,8 @@
         if self.is_at_attempt_limit(attempts) || !self.charge(attempts, service) {
             return false;
         }
-        let patience = self.times.hedge_delay(server.distance, self.route.target_latency);
-        attempts.note_remote_hedge(server.clone(), self.now(), patience);
+        let hedge_delay = self.latencies.hedge_delay(server.distance, self.route.target_latency);
+        attempts.note_remote_hedge(server.clone(), self.now(), hedge_delay);
         true
     }
 
--- a/crates/router/src/peer_service.rs
+++ b/crates/router/src/peer_service.rs
@@ -216,7 +216,7 @@
     let left = Duration::from_micros(batch.left_us);
     let request = CallerRequest::new(head, parts, body, RequestArrival::at(now), left, false);
     let view = router.cluster.view();
-    let times = view.latencies.get(&batch.route).cloned().unwrap_or_default();
+    let latencies = view.latencies.get(&batch.route).cloned().unwrap_or_default();
     let shards = batch.shards.iter().map(|shard| shard.service.clone()).collect();
     let spec = GatherSpec { shards, top: batch.top, min_coverage: 0.0 };
     let route = RouteSpec {
@@ -247,7 +247,7 @@
         allowed_regions: route.allowed_regions.clone(),
         route: Arc::new(route),
         request: Arc::new(request),
-        times,
+        latencies,
         request_share,
         origin,
         canary: CanaryCall::over_shards(),
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -24,8 +24,8 @@
 /// Time after its start during which a node uses the shorter interval.
 const STARTUP_TIME: Duration = Duration::from_secs(2);
 
-/// Time after which a batch is cancelled when its first message is overdue. Together with the longest wait for that
-/// message it is below the 500 ms by which the time limits of servers may exceed that of the caller.
+/// A batch is cancelled if its first frame has not arrived this long after it was due. Together with the longest wait
+/// for that frame this is below the 500 ms by which the time limits of servers may exceed that of the caller.
 const MAX_TRANSIT: Duration = Duration::from_millis(300);
 
 /// A node that this one is connected to.
--- a/crates/router/src/ready.rs
+++ b/crates/router/src/ready.rs
@@ -13,7 +13,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use tokio::net::TcpListener;
 
-use crate::front::ACCEPT_PAUSE;
+use crate::front::ACCEPT_DELAY;
 use crate::router::Router;
 
 /// The path of the metrics.
@@ -25,7 +25,7 @@
 pub async fn serve(router: Arc<Router>, listener: Arc<TcpListener>, metrics_text: fn() -> String) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_DELAY).await;
             continue;
         };
         let router = router.clone();
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -225,8 +225,10 @@
     if !router.cluster.has_node(&context.node) {
         neighbours.push(router.own_entry());
     }
-    let nodes: Vec<ReaderCandidate> =
-        neighbours.iter().map(|entry| ReaderCandidate { name: entry.node.as_str(), power: entry.cpu_share }).collect();
+    let nodes: Vec<ReaderCandidate> = neighbours
+        .iter()
+        .map(|entry| ReaderCandidate { name: entry.node.as_str(), cpu_share: entry.cpu_share })
+        .collect();
     let choice = choose_readers(context.node.as_str(), context.domain.as_str(), &nodes);
     router.store_breaker.set_rank(choice.rank);
     let find = |name: &str| neighbours.iter().find(|entry| entry.node.as_str() == name).cloned();
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -145,7 +145,7 @@
 impl Router {
     pub(crate) fn new(settings: RouterSettings, format: Arc<dyn CallFormat>, feed: Arc<dyn ClusterFeed>) -> Self {
         let clock = NodeClock::start();
-        let place = NodeContext {
+        let context = NodeContext {
             node: settings.node.clone(),
             domain: settings.failure_domain.clone(),
             regions: settings.regions.clone(),
@@ -160,7 +160,7 @@
             incarnation: Incarnation(wall_ms()),
             format,
             feed,
-            cluster: Cluster::new(place),
+            cluster: Cluster::new(context),
             phase: watch::Sender::new(RouterPhase::Serving),
             requests: AtomicUsize::new(0),
             connections: AtomicUsize::new(0),
@@ -196,7 +196,7 @@
             incarnation: self.incarnation,
             domain: self.settings.failure_domain.clone(),
             peer_address: self.settings.peers,
-            cpu_share: self.settings.power(),
+            cpu_share: self.settings.core_share(),
         }
     }
 
@@ -300,7 +300,7 @@
     /// # Errors
     /// The batch would have to wait too long; the error is that wait.
     pub(crate) fn admit_batch(&self, shards: usize, within: Duration) -> Result<(), Duration> {
-        let Some(cpu_share) = self.settings.power() else { return Ok(()) };
+        let Some(cpu_share) = self.settings.core_share() else { return Ok(()) };
         let mut gate = self.batch_gate.lock().unwrap_or_else(PoisonError::into_inner);
         gate.admit(self.clock.now(), shards, cpu_share, within)
     }
--- a/crates/router/src/router_start.rs
+++ b/crates/router/src/router_start.rs
@@ -15,7 +15,7 @@
     feed, front, knowledge, liveness_probe, look_around, node_sweep, peer_service, peers, ready, relay, shortage,
 };
 
-/// Interval at which doubtful servers and connections that are backing off are checked.
+/// Interval at which doubtful servers and idle connections are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Interval at which a starting node checks whether it can serve.
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -102,7 +102,7 @@
     }
 
     /// The CPU capacity of this node, if the settings contain it.
-    pub fn power(&self) -> Option<CoreShare> {
+    pub fn core_share(&self) -> Option<CoreShare> {
         let cores = self.cores? * self.cpu_share?;
         (cores.is_finite() && cores > 0.0).then_some(CoreShare((cores * 1e3) as u32))
     }
--- a/crates/router/tests/late_routes.rs
+++ b/crates/router/tests/late_routes.rs
@@ -52,7 +52,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn routes_read_from_the_store_after_a_lag_reach_followers() {
     let (strong, weak) = (make_settings("strong", 1.0), make_settings("weak", 0.2));
-    let mut nodes = vec![entry("strong", strong.peers, strong.power()), entry("weak", weak.peers, weak.power())];
+    let mut nodes =
+        vec![entry("strong", strong.peers, strong.core_share()), entry("weak", weak.peers, weak.core_share())];
     // With fewer nodes no node follows another. These two do not exist.
     let unused = SocketAddr::from(([127, 0, 0, 1], 9));
     nodes.extend(["away-0", "away-1"].map(|name| entry(name, unused, None)));
