--- a/crates/policy/src/canary.rs
+++ b/crates/policy/src/canary.rs
@@ -140,7 +140,8 @@
         self.is_over_shards && self.was_unrestricted && !self.is_answered
     }
 
-    /// Whether another request may still prove to have caused the crashes, so that this one may send calls again.
+    /// Whether another request may still turn out to be the cause of the crashes. If it does, this one may send calls
+    /// again.
     pub fn is_undecided(&self, status: ContentStatus) -> bool {
         status == ContentStatus::Suspect && self.canary == CanaryState::NotSent && self.is_probable_cause()
     }
--- a/crates/policy/src/finish_estimate.rs
+++ b/crates/policy/src/finish_estimate.rs
@@ -3,7 +3,7 @@
 //!
 //! The load pattern: servers of some shards are slow for many seconds, or silent. A request that needs them starts,
 //! blocks its caller until the deadline, and wastes the work of the servers of all other shards. The state of a server
-//! may be old or wrong, so every estimate is the earliest time that it allows.
+//! may be old or wrong, so every estimate is the earliest time that the known state allows.
 
 use std::time::Duration;
 
--- a/crates/policy/tests/retry_after.rs
+++ b/crates/policy/tests/retry_after.rs
@@ -12,14 +12,14 @@
 #[test]
 fn a_starting_node_reports_the_rest_of_its_startup_time() {
     let unknown = |millis| RefusalReason::RoutesUnknown { uptime: Duration::from_millis(millis) };
-    let told = [
+    let delays = [
         describe("just started", unknown(0)),
         describe("0.1 s after", unknown(100)),
         describe("nearly there", unknown(290)),
         describe("without the store", unknown(5_000)),
         describe("no server", RefusalReason::NoServer),
     ];
-    insta::assert_snapshot!(told.join("\n"));
+    insta::assert_snapshot!(delays.join("\n"));
 }
 
 /// Guards against a burst of retries after a restart of all nodes: 300 callers are refused within 50 ms.
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -59,8 +59,8 @@
                 if kind == 0 {
                     queue.server_mut(1).mark_leaving();
                 }
-                let begun = queue.finish(now, server, report(detail), &mut rng);
-                started.extend(begun.into_iter().map(|work| (work.server, work.tag)));
+                let resumed = queue.finish(now, server, report(detail), &mut rng);
+                started.extend(resumed.into_iter().map(|work| (work.server, work.tag)));
             }
             for (server, deadline) in started {
                 let state = &queue.servers()[server];
@@ -78,7 +78,7 @@
     /// The number of running requests never exceeds the limit, the counts are consistent, and a freed slot goes to
     /// queued work.
     fn admission_keeps_its_limit_and_counts(events: Vec<(u8, u8)>) -> bool {
-        let mut gate: AdmissionControl<u8> = AdmissionControl::new(true);
+        let mut admission: AdmissionControl<u8> = AdmissionControl::new(true);
         let callers: [CallerName; 2] = ["greedy", "modest"].map(|name| name.parse().expect("a name"));
         let mut running: Vec<usize> = Vec::new();
         let mut waiting = 0usize;
@@ -87,8 +87,8 @@
             let who = usize::from(who % 4 == 0);
             if kind % 3 != 0 || running.is_empty() {
                 let caller = callers[who].clone();
-                let ask = AdmissionRequest { caller, rate: 1e6, concurrency: 1_000, deadline: now.plus(Duration::from_secs(9)) };
-                match gate.admit(now, &ask, who as u8) {
+                let request = AdmissionRequest { caller, rate: 1e6, concurrency: 1_000, deadline: now.plus(Duration::from_secs(9)) };
+                match admission.admit(now, &request, who as u8) {
                     Admission::Started => running.push(who),
                     Admission::Waiting(_) => waiting += 1,
                     Admission::Displaced(..) | Admission::Refused(_) => {}
@@ -97,15 +97,15 @@
                 let who = running.swap_remove(usize::from(kind) % running.len());
                 let waited = Duration::from_millis(u64::from(kind));
                 let work = WorkReport { waited, served: Duration::from_millis(40) };
-                for (_, tag) in gate.finish(now, &callers[who], Duration::from_millis(50), work) {
+                for (_, tag) in admission.finish(now, &callers[who], Duration::from_millis(50), work) {
                     running.push(usize::from(tag));
                     waiting -= 1;
                 }
-                if gate.running() < gate.limit() && gate.waiting() > 0 {
+                if admission.running() < admission.limit() && admission.waiting() > 0 {
                     return false;
                 }
             }
-            if gate.running() as usize != running.len() || gate.waiting() != waiting {
+            if admission.running() as usize != running.len() || admission.waiting() != waiting {
                 return false;
             }
         }
@@ -246,7 +246,7 @@
 
 #[test]
 fn a_modest_caller_displaces_a_greedy_one() {
-    let mut gate: AdmissionControl<&str> = AdmissionControl::new(true);
+    let mut admission: AdmissionControl<&str> = AdmissionControl::new(true);
     let request = |name: &str| AdmissionRequest {
         caller: name.parse().expect("a name"),
         rate: 1e6,
@@ -255,11 +255,12 @@
     };
     let mut refused = 0;
     for _ in 0..200 {
-        refused += usize::from(matches!(gate.admit(Moment(1), &request("greedy"), "greedy"), Admission::Refused(_)));
+        refused +=
+            usize::from(matches!(admission.admit(Moment(1), &request("greedy"), "greedy"), Admission::Refused(_)));
     }
-    assert!(refused > 0 && gate.waiting() > 0);
-    assert!(matches!(gate.admit(Moment(1), &request("modest"), "modest"), Admission::Displaced(_, "greedy")));
+    assert!(refused > 0 && admission.waiting() > 0);
+    assert!(matches!(admission.admit(Moment(1), &request("modest"), "modest"), Admission::Displaced(_, "greedy")));
     let caller = "greedy".parse().expect("a name");
-    let started = gate.finish(Moment(2), &caller, Duration::from_millis(1), WorkReport::default());
+    let started = admission.finish(Moment(2), &caller, Duration::from_millis(1), WorkReport::default());
     assert_eq!(started[0].1, "modest", "the caller with the fewest running requests is next");
 }
--- a/crates/router/src/batch.rs
+++ b/crates/router/src/batch.rs
@@ -55,7 +55,7 @@
     /// The records of all its shards folded together, at the requested time.
     Folded,
     /// Each shard separately as soon as it has answered, without the records under a floor. Used for hedges of a few
-    /// shards, when the requesting node already has most of the answer.
+    /// shards, when the delegating node already has most of the answer.
     Each {
         /// The least record that may still be wanted, as a number; `None` if any record may be.
         floor: Option<u128>,
@@ -67,7 +67,7 @@
 pub struct BatchShard {
     /// The service of the shard.
     pub service: ServiceName,
-    /// The server reserved for the requesting node, which may call it itself if the other node stops responding.
+    /// The server reserved for the delegating node, which may call it itself if the other node stops responding.
     pub reserved: Option<ServerId>,
 }
 
--- a/crates/router/src/canary.rs
+++ b/crates/router/src/canary.rs
@@ -65,7 +65,7 @@
         record.permission(now, status, timeout)
     }
 
-    /// Whether another request may still prove to have caused the crashes.
+    /// Whether another request may still turn out to be the cause of the crashes.
     pub fn is_undecided(&self, status: ContentStatus) -> bool {
         self.state().record.is_undecided(status)
     }
--- a/crates/router/src/delegate.rs
+++ b/crates/router/src/delegate.rs
@@ -34,9 +34,9 @@
 const MAX_PROGRESS_WAIT: Duration = Duration::from_millis(150);
 /// The shortest time that a node is given for its reply, however little time is left.
 const MIN_REPLY_TIME: Duration = Duration::from_millis(5);
-/// The fraction of a delegated request that the requesting node counts towards its own budget of extra calls; the node
+/// The fraction of a delegated request that the delegating node counts towards its own budget of extra calls; the node
 /// that makes the first call counts the rest.
-pub const REQUESTER_SHARE: f64 = 0.3;
+pub const DELEGATOR_SHARE: f64 = 0.3;
 
 /// A batch at another node. Resolves to its number, the batch itself and its next event.
 pub type PendingBatchEvent = BoxFuture<'static, (usize, PendingBatch, BatchEvent)>;
@@ -49,7 +49,7 @@
 /// The positions of the shards that have a usable server in each failure domain.
 type PositionsByDomain = BTreeMap<RankedDomain, BTreeSet<usize>>;
 
-/// The state of a batch at the requesting node.
+/// The state of a batch at the delegating node.
 pub struct BatchSlot {
     /// The node that the batch was sent to.
     pub peer: Arc<PeerNode>,
@@ -206,7 +206,7 @@
     pub fn note_delegated(&self, service: &ServiceName) {
         let Some(service) = self.view.services.get(service) else { return };
         let limits = self.router.extra_limits(&self.view, service);
-        service.budget().note_request(self.now(), &limits, REQUESTER_SHARE);
+        service.budget().note_request(self.now(), &limits, DELEGATOR_SHARE);
     }
 
     /// Sends a batch of shards to another node.
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -48,7 +48,7 @@
     fn decide(&self, now: Moment, request: &EntryRequest) -> EntryDecision {
         let mut gate = lock(&self.gate);
         let before = gate.level().closed();
-        let step = gate.decide(now, request);
+        let decision = gate.decide(now, request);
         let level = gate.level();
         if level.closed() != before {
             metrics::gauge!("streamfold_closed_priorities").set(level.closed() as f64);
@@ -62,7 +62,7 @@
                 target_ms = request.target.as_millis() as u64
             );
         }
-        step
+        decision
     }
 
     /// The least urgent priority that is still admitted; `None` while all are.
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -29,7 +29,8 @@
     /// The position of the next watch; `None` if the topic has to be listed first.
     position: Option<FeedPosition>,
     failures: u32,
-    /// Whether the next listing may be stale. It may not once the history that follows a stale listing was gone.
+    /// Whether the next listing may be stale. After a watch found that the history it continues from is gone, a fresh
+    /// listing is needed.
     may_be_stale: bool,
     /// The reason recorded for the next listing.
     list_reason: CallReason,
--- a/crates/router/src/peer_gather.rs
+++ b/crates/router/src/peer_gather.rs
@@ -1,4 +1,4 @@
-//! Sends the calls of a delegated batch to its shards and builds the replies to the entry node.
+//! Sends the calls of a delegated batch to its shards and builds the replies to the delegating node.
 
 use std::time::Duration;
 
--- a/crates/router/src/peer_service.rs
+++ b/crates/router/src/peer_service.rs
@@ -1,4 +1,4 @@
-//! Server side of the traffic between nodes: sends the calls of delegated batches to nearby shards and merges the
+//! Server side of the traffic between nodes: sends the calls of delegated batches to nearby shards and folds the
 //! answers, and serves requests for cluster state, credit, quarantine updates and the relay.
 
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 use crate::batch::{BatchFrame, BatchMode, PATH_BATCH, PATH_KNOWLEDGE, ShardBatch, ShardReply};
 use crate::canary::CanaryCall;
 use crate::cluster_view::ClusterView;
-use crate::delegate::REQUESTER_SHARE;
+use crate::delegate::DELEGATOR_SHARE;
 use crate::interface::{CallerHead, PresentedKey};
 use crate::knowledge::{self, KnowledgeRequest};
 use crate::peer_gather::PeerGather;
@@ -119,7 +119,7 @@
     loop {
         tokio::select! {
             biased;
-            // The entry node needs no more answers or its caller has disconnected, so no further call is sent.
+            // The delegating node needs no more answers or its caller has disconnected, so no further call is sent.
             _ = std::future::poll_fn(|cx| stream.poll_reset(cx)) => {
                 log_cancelled(&context, accepted);
                 return Ok(());
@@ -210,7 +210,7 @@
     *copy.headers_mut() = headers;
     let (parts, ()) = copy.into_parts();
     let now = router.clock.now();
-    // The entry node has checked the API key and removed it.
+    // The delegating node has checked the API key and removed it.
     let head = CallerHead { request: id, deadline: None, key: PresentedKey::None };
     let body = Bytes::copy_from_slice(&batch.request.body);
     let left = Duration::from_micros(batch.left_us);
@@ -233,8 +233,8 @@
         target: RouteTarget::Gather(spec),
     };
     let (origin, request_share) = match batch.mode {
-        BatchMode::Folded => (RequestOrigin::Node, 1.0 - REQUESTER_SHARE),
-        // The entry node has counted the call as an extra call.
+        BatchMode::Folded => (RequestOrigin::Node, 1.0 - DELEGATOR_SHARE),
+        // The delegating node has counted the call as an extra call.
         BatchMode::Each { .. } => (RequestOrigin::HedgingNode, 0.0),
     };
     let retry_until = now.plus(Duration::from_micros(batch.reply_within_us));
