--- a/crates/router/src/attempt_context.rs
+++ b/crates/router/src/attempt_context.rs
@@ -69,7 +69,7 @@
     /// Its priority among requests for the same servers.
     pub priority: Priority,
     /// Latencies of the route.
-    pub latencies: RouteLatencies,
+    pub times: RouteLatencies,
     /// Until when servers that did not accept the request are retried.
     pub retry_until: Moment,
     /// The fraction of a request that this node counts towards its budget of extra calls.
@@ -142,7 +142,7 @@
 
     /// The typical duration of a call to a server.
     pub(crate) fn typical_latency(&self, server: &Server) -> Duration {
-        self.latencies.typical(server.distance, self.route.target_latency)
+        self.times.typical(server.distance, self.route.target_latency)
     }
 
     /// The server with the lowest cost, that is, the one expected to answer soonest.
@@ -208,7 +208,7 @@
         attempts.is_overdue = false;
         attempts.is_remote_hedge = false;
         attempts.watch_silence(&server, attempts.started);
-        let hedge_delay = self.latencies.hedge_delay(server.distance, self.route.target_latency);
+        let hedge_delay = self.times.hedge_delay(server.distance, self.route.target_latency);
         attempts.hedge_at = (!self.is_at_most_once()).then(|| attempts.started.plus(hedge_delay));
         calls.push(self.call(position, server, mark));
         if let Some(entry) = entry {
@@ -260,7 +260,7 @@
         if status == ContentStatus::Clear {
             return RequestVerdict::Continue;
         }
-        let usual = self.latencies.typical(Distance::Far, self.route.target_latency);
+        let usual = self.times.typical(Distance::Far, self.route.target_latency);
         self.canary.verdict(status, self.now().since(self.request.started), usual)
     }
 
@@ -303,7 +303,7 @@
     }
 
     fn call(&self, position: usize, server: Arc<Server>, mark: SentMark) -> PendingCall {
-        let typical = self.latencies.typical(server.distance, self.route.target_latency);
+        let typical = self.times.typical(server.distance, self.route.target_latency);
         let queue = self.view.services.get(&server.service).and_then(Service::queue).cloned();
         let running =
             call::run(self.router.clone(), server, self.request.clone(), self.is_at_most_once(), mark, typical);
--- a/crates/router/src/delegate.rs
+++ b/crates/router/src/delegate.rs
@@ -220,7 +220,7 @@
         let now = self.now();
         let BatchRequest { peer, positions, shards, mode } = request;
         let round_trip = round_trip(peer.domain.distance);
-        let hedge_delay = self.latencies.hedge_delay(Distance::Domain, self.route.target_latency);
+        let hedge_delay = self.times.hedge_delay(Distance::Domain, self.route.target_latency);
         let progress_within = hedge_delay.min(MAX_PROGRESS_WAIT);
         let target = self.request.started.plus(rule.target.min(rule.limit));
         let reply_within = match mode {
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -126,7 +126,7 @@
     let service = context.view.services.get(shard);
     let usable = service.into_iter().flat_map(|service| service.usable(now, &context.allowed_regions));
     let estimates = usable.map(|server| {
-        let typical = context.latencies.typical(server.distance, context.route.target_latency);
+        let typical = context.times.typical(server.distance, context.route.target_latency);
         server.estimate_finish(now, typical)
     });
     ShardEstimate::of(estimates, left)
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -195,7 +195,7 @@
         view: routed.view,
         route: routed.route,
         request: Arc::new(request),
-        latencies,
+        times: latencies,
         request_share: 1.0,
         origin: RequestOrigin::Caller,
         canary,
--- a/crates/router/src/gather.rs
+++ b/crates/router/src/gather.rs
@@ -298,7 +298,7 @@
         let slot = &mut self.slots[position];
         match ended.result {
             Ok(reply) if reply.is_proven_success() => {
-                self.context.latencies.add(ended.server.distance, took);
+                self.context.times.add(ended.server.distance, took);
                 slot.attempts.note_answer(&ended.server.run());
                 if slot.part.is_none() {
                     slot.part = reply.proof.map(|proof| ShardPart { proof, records: reply.body, floor: None });
--- a/crates/router/src/hedge.rs
+++ b/crates/router/src/hedge.rs
@@ -119,7 +119,7 @@
         if self.is_at_attempt_limit(attempts) || !self.charge(attempts, service) {
             return false;
         }
-        let hedge_delay = self.latencies.hedge_delay(server.distance, self.route.target_latency);
+        let hedge_delay = self.times.hedge_delay(server.distance, self.route.target_latency);
         attempts.note_remote_hedge(server.clone(), self.now(), hedge_delay);
         true
     }
--- a/crates/router/src/peer_service.rs
+++ b/crates/router/src/peer_service.rs
@@ -247,7 +247,7 @@
         allowed_regions: route.allowed_regions.clone(),
         route: Arc::new(route),
         request: Arc::new(request),
-        latencies,
+        times: latencies,
         request_share,
         origin,
         canary: CanaryCall::over_shards(),
--- a/crates/router/src/single.rs
+++ b/crates/router/src/single.rs
@@ -107,7 +107,7 @@
         self.context.note_ended(&ended);
         match ended.result {
             Ok(reply) if !reply.status.is_server_error() && (reply.proof.is_some() || !reply.status.is_success()) => {
-                self.context.latencies.add(ended.server.distance, took);
+                self.context.times.add(ended.server.distance, took);
                 return Some(reply);
             }
             Ok(reply) => {
