--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' port: health, readiness, metrics, status, configuration and audit.
+//! The HTTP API for operators: health, readiness, metrics, status, configuration and audit trail.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use axum::routing::get;
 use streamfold_model::check::check_files;
 use streamfold_model::operator::{ApplyAnswer, ApplyRequest, MemberStatus, NodeStatus, ServerStatus};
-use streamfold_model::{ConfigBundle, ConfigVersion, HeadRecord, ProblemDetails, RanState};
+use streamfold_model::{ConfigBundle, ConfigVersion, ExecutionState, HeadRecord, ProblemDetails};
 use streamfold_store::{CommitError, CommitRequest};
 use tokio::net::TcpListener;
 
@@ -22,15 +22,15 @@
 use crate::stop::StopPhase;
 use crate::upstream::LinkState;
 
-/// Connections of operators at most.
+/// Maximum number of operators' connections.
 const MAX_CONNECTIONS: usize = 100;
-/// The largest configuration taken, in bytes.
-const MAX_CONFIG: usize = 64 << 20;
-/// Audit records told at once, at most.
-const MAX_AUDIT: u64 = 200;
-const DEFAULT_AUDIT: u64 = 20;
+/// Maximum size of an uploaded configuration, in bytes.
+const MAX_CONFIG_BYTES: usize = 64 << 20;
+/// Maximum number of audit records in one answer.
+const MAX_AUDIT_RECORDS: u64 = 200;
+const DEFAULT_AUDIT_RECORDS: u64 = 20;
 
-/// Serves the operators' port until the node ends.
+/// Serves the operators' port until the node stops.
 pub async fn serve(node: Arc<Node>, listener: Arc<TcpListener>) {
     let router = Router::new()
         .route("/healthz", get(|| async { "alive\n" }))
@@ -39,7 +39,7 @@
         .route("/v1/status", get(status))
         .route("/v1/config", get(read_config).post(apply))
         .route("/v1/audit", get(audit))
-        .layer(DefaultBodyLimit::max(MAX_CONFIG))
+        .layer(DefaultBodyLimit::max(MAX_CONFIG_BYTES))
         .with_state(node.clone());
     http_server::serve(node, listener, router, MAX_CONNECTIONS).await;
 }
@@ -73,15 +73,15 @@
         config_version: node.keeper.version(),
         config_age_ms: node.keeper.age_ms(),
         in_flight: node.work_in_flight(),
-        members: tell_members(&node),
-        servers: tell_servers(&node),
+        members: list_members(&node),
+        servers: list_servers(&node),
     })
 }
 
-fn tell_members(node: &Node) -> Vec<MemberStatus> {
+fn list_members(node: &Node) -> Vec<MemberStatus> {
     let now = node.clock.now();
     let members = node.members();
-    let told = members.entries().map(|entry| MemberStatus {
+    let statuses = members.entries().map(|entry| MemberStatus {
         node: entry.node.clone(),
         incarnation: entry.incarnation,
         domain: entry.domain.clone(),
@@ -90,12 +90,12 @@
         health: members.health(now, &entry.node),
         config: entry.config,
     });
-    told.collect()
+    statuses.collect()
 }
 
-fn tell_servers(node: &Node) -> Vec<ServerStatus> {
+fn list_servers(node: &Node) -> Vec<ServerStatus> {
     let pools = node.pools.all();
-    let told = pools.iter().flat_map(|pool| {
+    let statuses = pools.iter().flat_map(|pool| {
         pool.servers().into_iter().map(|(link, state)| ServerStatus {
             upstream: pool.spec.name.clone(),
             server: link.address(),
@@ -106,10 +106,10 @@
             connections: link.open_connections(),
         })
     });
-    told.collect()
+    statuses.collect()
 }
 
-fn problem(kind: &str, status: StatusCode, detail: String, ran: RanState, problems: Vec<String>) -> Response {
+fn problem(kind: &str, status: StatusCode, detail: String, ran: ExecutionState, problems: Vec<String>) -> Response {
     let details = ProblemDetails {
         kind: kind.to_owned(),
         status: status.as_u16(),
@@ -127,14 +127,26 @@
     let request: ApplyRequest = match serde_json::from_slice(&body) {
         Ok(request) => request,
         Err(error) => {
-            return problem("bad-request", StatusCode::BAD_REQUEST, error.to_string(), RanState::NotRun, Vec::new());
+            return problem(
+                "bad-request",
+                StatusCode::BAD_REQUEST,
+                error.to_string(),
+                ExecutionState::NotRun,
+                Vec::new(),
+            );
         }
     };
     let next = node.keeper.version().next();
     if let Err(errors) = check_files(next, &request.files) {
         let detail = format!("the configuration has {} problem(s); nothing was applied", errors.len());
         let problems = errors.iter().map(ToString::to_string).collect();
-        return problem("bad-configuration", StatusCode::UNPROCESSABLE_ENTITY, detail, RanState::NotRun, problems);
+        return problem(
+            "bad-configuration",
+            StatusCode::UNPROCESSABLE_ENTITY,
+            detail,
+            ExecutionState::NotRun,
+            problems,
+        );
     }
     if request.dry_run {
         return Json(ApplyAnswer { version: node.keeper.version(), committed: false }).into_response();
@@ -157,7 +169,7 @@
         Ok(head) => {
             let version = head.version;
             tracing::info!(event = "config_committed", version = %version, change = %head.change, operator = head.operator);
-            // A change retried under its id may have been followed by others, which are then newer.
+            // The commit may be a retry of a change that newer ones have followed; the offer then changes nothing.
             node.offer(ConfigBundle { head, files });
             Json(ApplyAnswer { version, committed: true }).into_response()
         }
@@ -170,10 +182,10 @@
 
 fn commit_problem(error: &CommitError) -> Response {
     let (kind, status, ran) = match error {
-        CommitError::Conflict(_) => ("conflict", StatusCode::CONFLICT, RanState::NotRun),
-        CommitError::NotApplied(_) => ("store-unavailable", StatusCode::SERVICE_UNAVAILABLE, RanState::NotRun),
-        CommitError::Unknown => ("outcome-unknown", StatusCode::GATEWAY_TIMEOUT, RanState::Unknown),
-        CommitError::BadHead => ("bad-head", StatusCode::INTERNAL_SERVER_ERROR, RanState::NotRun),
+        CommitError::Conflict(_) => ("conflict", StatusCode::CONFLICT, ExecutionState::NotRun),
+        CommitError::NotApplied(_) => ("store-unavailable", StatusCode::SERVICE_UNAVAILABLE, ExecutionState::NotRun),
+        CommitError::Unknown => ("outcome-unknown", StatusCode::GATEWAY_TIMEOUT, ExecutionState::Unknown),
+        CommitError::BadHead => ("bad-head", StatusCode::INTERNAL_SERVER_ERROR, ExecutionState::NotRun),
     };
     problem(kind, status, error.to_string(), ran, Vec::new())
 }
@@ -184,45 +196,51 @@
 
 async fn read_config(State(node): State<Arc<Node>>, RawQuery(parameters): RawQuery) -> Response {
     let wanted = find_number(parameters.as_deref(), "version").map(ConfigVersion);
-    let kept = node.keeper.current();
-    if let Some(kept) = &kept
-        && wanted.is_none_or(|wanted| wanted == kept.bundle.head.version)
+    let active = node.keeper.current();
+    if let Some(active) = &active
+        && wanted.is_none_or(|wanted| wanted == active.bundle.head.version)
     {
-        return Json(&kept.bundle).into_response();
+        return Json(&active.bundle).into_response();
     }
     let Some(wanted) = wanted else {
         let detail = "there is no configuration yet".to_owned();
-        return problem("no-configuration", StatusCode::NOT_FOUND, detail, RanState::NotRun, Vec::new());
+        return problem("no-configuration", StatusCode::NOT_FOUND, detail, ExecutionState::NotRun, Vec::new());
     };
     let read = async { node.store.read_bundle(node.store.read_audit(wanted).await?).await };
     match read.await {
         Ok(bundle) => Json(bundle).into_response(),
         Err(error) => {
             let detail = format!("reading version {wanted}: {error}");
-            problem("version-not-found", StatusCode::NOT_FOUND, detail, RanState::NotRun, Vec::new())
+            problem("version-not-found", StatusCode::NOT_FOUND, detail, ExecutionState::NotRun, Vec::new())
         }
     }
 }
 
-/// The newest audit records, newest first.
+/// The most recent audit records, newest first.
 async fn audit(State(node): State<Arc<Node>>, RawQuery(parameters): RawQuery) -> Response {
-    let most = find_number(parameters.as_deref(), "limit").unwrap_or(DEFAULT_AUDIT).min(MAX_AUDIT);
+    let limit = find_number(parameters.as_deref(), "limit").unwrap_or(DEFAULT_AUDIT_RECORDS).min(MAX_AUDIT_RECORDS);
     let mut records: Vec<HeadRecord> = Vec::new();
     let newest = match node.store.read_head().await {
         Ok(head) => head.map_or(ConfigVersion(0), |(head, _)| head.version),
         Err(error) => {
             let detail = format!("reading the audit trail: {error}");
-            return problem("store-unavailable", StatusCode::SERVICE_UNAVAILABLE, detail, RanState::NotRun, Vec::new());
+            return problem(
+                "store-unavailable",
+                StatusCode::SERVICE_UNAVAILABLE,
+                detail,
+                ExecutionState::NotRun,
+                Vec::new(),
+            );
         }
     };
     let mut version = newest;
-    while version > ConfigVersion(0) && (records.len() as u64) < most {
+    while version > ConfigVersion(0) && (records.len() as u64) < limit {
         match node.store.read_audit(version).await {
             Ok(record) => records.push(record),
             Err(error) => {
                 let detail = format!("reading audit record {version}: {error}");
                 let status = StatusCode::SERVICE_UNAVAILABLE;
-                return problem("store-unavailable", status, detail, RanState::NotRun, Vec::new());
+                return problem("store-unavailable", status, detail, ExecutionState::NotRun, Vec::new());
             }
         }
         version = ConfigVersion(version.0 - 1);
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! The lab: stand-ins for the platform and for servers, a fault proxy, load and experiments.
+//! Test lab: simulated servers, a fault-injecting proxy, load generators, experiments and the soak test.
 //! It is never linked into the daemon or the command line.
 
 pub mod client;
@@ -19,6 +19,6 @@
 pub mod soak_faults;
 pub mod soak_fleet;
 pub mod soak_machine;
-pub mod soak_ways;
+pub mod soak_paths;
 pub mod usage;
 pub mod wait;
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,5 +1,4 @@
-//! Links between nodes: bincode in length-prefixed frames on `h2` streams, whatever the
-//! messages are.
+//! Transport between nodes: any bincode message in length-prefixed frames on HTTP/2 streams.
 
 pub mod error;
 pub mod frame;
@@ -8,6 +7,6 @@
 pub mod socket;
 
 pub use error::PeerError;
-pub use frame::{FrameReader, MAX_FRAME, decode_body, encode_frame, send_frame};
-pub use link::{PEER_FRAME, PEER_WINDOW, PeerLink};
+pub use frame::{FrameReader, MAX_FRAME_LEN, decode_body, encode_frame, send_frame};
+pub use link::{PEER_HTTP2_FRAME_SIZE, PEER_WINDOW_SIZE, PeerLink};
 pub use server::{PeerService, read_message, refuse, reply};
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,6 +1,6 @@
-//! Words, ids, units, outcomes and the checked configuration of streamfold.
+//! Data types shared by all crates: ids, units, outcomes, routes and the validated configuration.
 //!
-//! Nothing here does I/O. Every other crate speaks in these types.
+//! Nothing here does I/O.
 
 pub mod answer;
 pub mod check;
@@ -15,7 +15,7 @@
 pub mod team;
 pub mod units;
 
-pub use answer::{MissingReason, MissingShard, ProblemDetails, QueryAnswer, RanState, ShardCoverage};
+pub use answer::{ExecutionState, MissingReason, MissingShard, ProblemDetails, QueryAnswer, ShardCoverage};
 pub use check::{CheckError, CheckProblem, SourceFile};
 pub use config::{CallerSpec, Configuration, IndexSpec, ShardLayout, UpstreamSpec};
 pub use document::{CallerPreference, ServerProtocol};
@@ -23,8 +23,8 @@
 pub use ids::*;
 pub use outcome::AttemptOutcome;
 pub use routing::{
-    CallerLimits, CrashEntry, HomeRegions, NodeEntry, RouteKind, RouteSpec, RouteTable, RouteTarget, ServerEntry,
-    ServiceSpec, ShardFold, TableError, WeightedService,
+    AllowedRegions, CallerLimits, CrashEntry, GatherSpec, NodeEntry, RouteKind, RouteSpec, RouteTable, RouteTarget,
+    ServerEntry, ServiceSpec, TableError, WeightedService,
 };
 pub use team::{KeyDigest, TeamDirectory, TeamError, TeamKeys, TeamSpec, UsageLimit};
 pub use units::{ByteSize, CallRate, CoreShare, ParseUnitError, Priority, TimeSpan};
--- a/crates/policy/tests/recent_work.rs
+++ b/crates/policy/tests/recent_work.rs
@@ -1,20 +1,21 @@
-//! What a server counts as having worked on when its process ends.
+//! Checks which calls are suspects when a server crashes.
 
 use std::time::Duration;
 
 use streamfold_model::ContentId;
 use streamfold_policy::Moment;
-use streamfold_policy::crash_book::{CrashSuspect, SURVIVED_AFTER};
-use streamfold_policy::recent_work::{LATELY, RecentWork};
+use streamfold_policy::crash_tracker::{CrashSuspect, SURVIVAL_DELAY};
+use streamfold_policy::recent_work::{RECENT_WINDOW, RecentWork};
 
 fn at(millis: u64) -> Moment {
     Moment::default().plus(Duration::from_millis(millis))
 }
 
 #[test]
-fn calls_under_way_and_those_that_have_just_ended_count_each_once() {
+fn running_and_recently_ended_calls_are_suspects_once_each() {
     let mut work = RecentWork::default();
-    let [long, twice, old] = [1, 2, 3].map(|content| CrashSuspect { content: ContentId(content), is_lone: true });
+    let [long, twice, old] =
+        [1, 2, 3].map(|content| CrashSuspect { content: ContentId(content), is_single_service: true });
     work.note_start(old);
     work.note_end(at(0), old, false);
     work.note_start(long);
@@ -22,29 +23,29 @@
     work.note_start(twice);
     work.note_end(at(100), twice, false);
     assert_eq!(work.suspects(at(150)), [long, twice, old]);
-    assert_eq!(work.suspects(at(0).plus(LATELY).plus(Duration::from_millis(1))), [long, twice]);
+    assert_eq!(work.suspects(at(0).plus(RECENT_WINDOW).plus(Duration::from_millis(1))), [long, twice]);
     work.note_end(at(300), twice, false);
     work.note_end(at(300), long, false);
     assert_eq!(work.suspects(at(300)), [long, twice]);
-    assert_eq!(work.suspects(at(300).plus(LATELY * 2)), []);
+    assert_eq!(work.suspects(at(300).plus(RECENT_WINDOW * 2)), []);
 }
 
 #[test]
-fn what_a_server_has_lived_through_before_is_no_suspect() {
+fn a_content_that_the_server_survived_before_is_no_suspect() {
     let mut work = RecentWork::default();
-    let [popular, new] = [1, 2].map(|content| CrashSuspect { content: ContentId(content), is_lone: true });
+    let [popular, new] = [1, 2].map(|content| CrashSuspect { content: ContentId(content), is_single_service: true });
     work.note_start(popular);
     work.note_end(at(0), popular, true);
     work.note_start(popular);
     work.note_start(new);
-    assert_eq!(work.suspects(at(100)), [popular, new], "it may still end under the first");
-    assert_eq!(work.suspects(at(0).plus(SURVIVED_AFTER)), [new]);
+    assert_eq!(work.suspects(at(100)), [popular, new], "the first call of the content may still crash the server");
+    assert_eq!(work.suspects(at(0).plus(SURVIVAL_DELAY)), [new]);
 }
 
 #[test]
-fn a_call_that_was_answered_before_the_server_ended_is_no_suspect() {
+fn a_call_that_was_answered_before_the_crash_is_no_suspect() {
     let mut work = RecentWork::default();
-    let [answered, lost] = [1, 2].map(|content| CrashSuspect { content: ContentId(content), is_lone: true });
+    let [answered, lost] = [1, 2].map(|content| CrashSuspect { content: ContentId(content), is_single_service: true });
     for suspect in [answered, lost] {
         work.note_start(suspect);
         work.note_end(at(0), suspect, suspect == answered);
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,15 +1,15 @@
-//! The router: takes callers' requests by host and path and sends each to one server of a
-//! service, or to one server of every shard and folds the answers into one.
+//! The request router. It matches callers' requests by host and path and forwards each one to one
+//! server of a service, or to one server of every shard and folds the shard answers into one.
 //!
-//! It knows no platform: how requests are written and where routes and servers are learnt
-//! from are traits in [`border`].
+//! The router is independent of the platform: the traits in [`interface`] supply the request format and
+//! the source of routes and servers.
 
 pub mod answer;
 pub mod attempt_context;
 pub mod attempts;
 pub mod batch;
-pub mod border;
 pub mod call;
+pub mod call_latencies;
 pub mod call_line;
 pub mod call_waits;
 mod caller_body;
@@ -35,11 +35,12 @@
 pub mod gather;
 pub mod gather_batch;
 pub mod gather_hedge;
+mod granters;
 pub mod hedge;
+pub mod interface;
 pub mod knowledge;
-mod lenders;
-mod line_choice;
 pub mod listing;
+pub mod liveness_probe;
 mod look_around;
 pub mod node_sweep;
 pub mod pace_report;
@@ -56,15 +57,14 @@
 pub mod router_start;
 mod router_stop;
 pub mod server;
+mod server_choice;
 pub mod settings;
 pub mod shortage;
-pub mod signs;
 pub mod single;
-pub mod spell_book;
+pub mod slow_periods;
 pub mod store_call;
 pub mod store_turn;
 pub mod task;
-pub mod times;
 pub mod usage;
 
 pub use router::{Router, RunningRouter};
--- a/crates/router/src/shortage.rs
+++ b/crates/router/src/shortage.rs
@@ -1,4 +1,4 @@
-//! Services that have few good servers, looked for from time to time.
+//! Periodic check for services that have few healthy servers.
 
 use std::collections::BTreeSet;
 use std::sync::{Mutex, PoisonError};
@@ -10,12 +10,12 @@
 use crate::cluster_view::ClusterView;
 use crate::router::Router;
 
-/// The services that were short at the last look.
+/// The services that were short at the last check.
 #[derive(Debug, Default)]
 pub struct ShortageWatch(Mutex<ShortageList>);
 
-/// Looks which services are short, counts them and logs what changed.
-pub(crate) fn look(router: &Router) {
+/// Finds the services that are short, updates the gauge and logs the changes.
+pub(crate) fn check(router: &Router) {
     if !router.has(Mechanism::MeasuredPace) {
         return;
     }
@@ -31,8 +31,8 @@
 }
 
 fn find_short(view: &ClusterView, now: Moment) -> BTreeSet<ServiceName> {
-    let services = view.services.iter().filter(|(_, service)| service.is_compared());
-    services.filter(|(_, service)| service.standing(now).is_short()).map(|(name, _)| name.clone()).collect()
+    let services = view.services.iter().filter(|(_, service)| service.is_comparable());
+    services.filter(|(_, service)| service.health(now).is_short()).map(|(name, _)| name.clone()).collect()
 }
 
 fn join(names: &[ServiceName]) -> String {
