--- a/crates/router/src/attempt_context.rs
+++ b/crates/router/src/attempt_context.rs
@@ -208,8 +208,8 @@
         attempts.is_overdue = false;
         attempts.is_remote_hedge = false;
         attempts.watch_silence(&server, attempts.started);
-        let patience = self.times.hedge_delay(server.distance, self.route.target_latency);
-        attempts.hedge_at = (!self.is_at_most_once()).then(|| attempts.started.plus(patience));
+        let hedge_delay = self.times.hedge_delay(server.distance, self.route.target_latency);
+        attempts.hedge_at = (!self.is_at_most_once()).then(|| attempts.started.plus(hedge_delay));
         calls.push(self.call(position, server, mark));
         if let Some(entry) = entry {
             entry.note_sent();
--- a/crates/router/src/delegate.rs
+++ b/crates/router/src/delegate.rs
@@ -34,9 +34,9 @@
 const MAX_PROGRESS_WAIT: Duration = Duration::from_millis(150);
 /// The shortest time that a node is given for its reply, however little time is left.
 const MIN_REPLY_TIME: Duration = Duration::from_millis(5);
-/// The fraction of a delegated request that the requesting node counts towards its own budget of extra calls; the node
+/// The fraction of a delegated request that the delegating node counts towards its own budget of extra calls; the node
 /// that makes the first call counts the rest.
-pub const REQUESTER_SHARE: f64 = 0.3;
+pub const DELEGATOR_SHARE: f64 = 0.3;
 
 /// A batch at another node. Resolves to its number, the batch itself and its next event.
 pub type PendingBatchEvent = BoxFuture<'static, (usize, PendingBatch, BatchEvent)>;
@@ -49,7 +49,7 @@
 /// The positions of the shards that have a usable server in each failure domain.
 type PositionsByDomain = BTreeMap<RankedDomain, BTreeSet<usize>>;
 
-/// The state of a batch at the requesting node.
+/// The state of a batch at the delegating node.
 pub struct BatchSlot {
     /// The node that the batch was sent to.
     pub peer: Arc<PeerNode>,
@@ -109,7 +109,7 @@
 /// share.
 fn owner_group(peers: &[Arc<PeerNode>]) -> Option<OwnerGroup> {
     let cpu_shares: Option<Vec<CoreShare>> = peers.iter().map(|peer| peer.entry.cpu_share).collect();
-    cpu_shares?.into_iter().min().map(|power| OwnerGroup { count: peers.len(), power })
+    cpu_shares?.into_iter().min().map(|cpu_share| OwnerGroup { count: peers.len(), cpu_share })
 }
 
 impl AttemptContext {
@@ -153,7 +153,7 @@
 
     /// Whether shards near this node are delegated to stronger nodes near it.
     fn is_near_delegated(&self, near_peers: &[Arc<PeerNode>], shards: usize) -> bool {
-        let (Some(group), Some(cpu_share)) = (owner_group(near_peers), self.router.settings.power()) else {
+        let (Some(group), Some(cpu_share)) = (owner_group(near_peers), self.router.settings.core_share()) else {
             return false;
         };
         self.router.has(Mechanism::NearDelegation)
@@ -206,7 +206,7 @@
     pub fn note_delegated(&self, service: &ServiceName) {
         let Some(service) = self.view.services.get(service) else { return };
         let limits = self.router.extra_limits(&self.view, service);
-        service.budget().note_request(self.now(), &limits, REQUESTER_SHARE);
+        service.budget().note_request(self.now(), &limits, DELEGATOR_SHARE);
     }
 
     /// Sends a batch of shards to another node.
@@ -220,8 +220,8 @@
         let now = self.now();
         let BatchRequest { peer, positions, shards, mode } = request;
         let round_trip = round_trip(peer.domain.distance);
-        let patience = self.times.hedge_delay(Distance::Domain, self.route.target_latency);
-        let progress_within = patience.min(MAX_PROGRESS_WAIT);
+        let hedge_delay = self.times.hedge_delay(Distance::Domain, self.route.target_latency);
+        let progress_within = hedge_delay.min(MAX_PROGRESS_WAIT);
         let target = self.request.started.plus(rule.target.min(rule.limit));
         let reply_within = match mode {
             BatchMode::Folded => target.since(now).saturating_sub(round_trip).max(MIN_REPLY_TIME),
